--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -5,6 +5,7 @@
 load      first-token times, longest turn of the loop and CPU of a gateway with 500 active streams, with 0, 1 and 10 consoles in
           pseudo-terminals (one on each view in turn), and the bytes a second that one console is sent
 findings  the bad days' scripts: time from a fault to the first finding of any gateway; findings on quiet days, which are all false"""
+
 import fcntl
 import json
 import os
@@ -66,8 +67,12 @@
     a, b, port = free_ports(3)
     folder = Path(tempfile.mkdtemp(prefix="lapiswing-bench-"))
     sock = str(folder / "gateway.sock")
-    (folder / "s.txtpb").write_text(SETTINGS.format(port=port, boxes="".join(
-        f'box {{ id: "127.0.0.1:{p}" kind: "{k}" }}\n' for p, k in zip((a, b), ("rd", "wr")))) + f'admin {{ path: "{sock}" }}')
+    (folder / "s.txtpb").write_text(
+        SETTINGS.format(
+            port=port, boxes="".join(f'box {{ id: "127.0.0.1:{p}" kind: "{k}" }}\n' for p, k in zip((a, b), ("rd", "wr")))
+        )
+        + f'admin {{ path: "{sock}" }}'
+    )
     children, open_ones = [child("source", a, PACE_MS), child("source", b, PACE_MS)], []
     try:
         wait_port(a), wait_port(b)
@@ -82,18 +87,27 @@
             time.sleep(1)
             lags.append(ask(sock, "GET", "/v1/snapshot?parts=counts")["now"]["lag_us"])
         cpu = (cpu_of(gateway.pid) - cpu) / (time.monotonic() - start)
-        sizes = {view: len(json.dumps(ask(sock, "GET", f"/v1/snapshot?parts={parts}"))) for view, parts in (
-            ("overview", "boxes,counts,tenants,sessions,modes"), ("reqs", "reqs,counts"))}
+        sizes = {
+            view: len(json.dumps(ask(sock, "GET", f"/v1/snapshot?parts={parts}")))
+            for view, parts in (("overview", "boxes,counts,tenants,sessions,modes"), ("reqs", "reqs,counts"))
+        }
         out = [json.loads(p.communicate(timeout=60)[0]) for p in loads]
         first = HdrHistogram(1, 60_000_000, 3)
         for o in out:
             first.decode_and_add(o["first"])
-        return {"consoles": consoles, "streams": streams, "reqs_s": round(sum(o["reqs"] for o in out) / seconds, 1),
-                "first_p50_ms": first.get_value_at_percentile(50) / 1000,
-                "first_p99_ms": first.get_value_at_percentile(99) / 1000, "cpu": round(cpu, 3),
-                "turn_ms_p50": round(statistics.median(lags) / 1000, 1), "turn_ms_most": round(max(lags) / 1000, 1),
-                "bad": sum(o["bad"] for o in out), "snapshot_bytes": sizes,
-                "terminal_bytes_s": round(sum(c.bytes for c in open_ones) / max(1, consoles) / seconds)}
+        return {
+            "consoles": consoles,
+            "streams": streams,
+            "reqs_s": round(sum(o["reqs"] for o in out) / seconds, 1),
+            "first_p50_ms": first.get_value_at_percentile(50) / 1000,
+            "first_p99_ms": first.get_value_at_percentile(99) / 1000,
+            "cpu": round(cpu, 3),
+            "turn_ms_p50": round(statistics.median(lags) / 1000, 1),
+            "turn_ms_most": round(max(lags) / 1000, 1),
+            "bad": sum(o["bad"] for o in out),
+            "snapshot_bytes": sizes,
+            "terminal_bytes_s": round(sum(c.bytes for c in open_ones) / max(1, consoles) / seconds),
+        }
     finally:
         for console in open_ones:
             console.close()
@@ -103,8 +117,14 @@
             process.wait(30)
 
 
-FAULTS = {"hang": "silent", "writer-dies": "unreachable fails fast", "reader-dies": "unreachable fails fast",
-          "fast-errors": "fails fast", "overload": "readers full writers full reader memory", "garbage": "fails fast"}
+FAULTS = {
+    "hang": "silent",
+    "writer-dies": "unreachable fails fast",
+    "reader-dies": "unreachable fails fast",
+    "fast-errors": "fails fast",
+    "overload": "readers full writers full reader memory",
+    "garbage": "fails fast",
+}
 
 
 def findings(seeds, jobs):
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -6,6 +6,7 @@
 
 Simulated: links under a simulated clock and network (0.2 to 2 ms a message). Real: links in one process on
 loopback sockets."""
+
 import argparse
 import sys
 import time
@@ -36,8 +37,9 @@
         fleet.net.loss = loss
         dead, wrong = set(), []
         for node in fleet.up():
-            node.link.on_member = lambda one, was: wrong.append(one.id) if one.state == "gone" and int(
-                one.id.partition("#")[0][3:]) not in dead else None
+            node.link.on_member = lambda one, was: (
+                wrong.append(one.id) if one.state == "gone" and int(one.id.partition("#")[0][3:]) not in dead else None
+            )
         for victim in (n - 1, n - 2, n - 3):
             dead.add(victim)
             fleet.kill(victim)
@@ -72,13 +74,25 @@
         if transports[i] is not None:
             links[i].tick(loop.clock.now_us())
             loop.call_later(TICK_US, tick, i)
+
     for i, port in enumerate(ports):
         rng = Random(i)
-        transport = Streams(loop, "127.0.0.1", port, lambda data, i=i: transports[i] and links[i].heard(
-            loop.clock.now_us(), data))
+        transport = Streams(
+            loop, "127.0.0.1", port, lambda data, i=i: transports[i] and links[i].heard(loop.clock.now_us(), data)
+        )
         transports.append(transport)
-        links.append(Link(f"gw-{i}", f"127.0.0.1:{port}", [f"127.0.0.1:{p}" for p in ports[:3]], [b"k" * 32],
-                          rng.random, rng.randbytes(16), transport.send, loop.clock.now_us()))
+        links.append(
+            Link(
+                f"gw-{i}",
+                f"127.0.0.1:{port}",
+                [f"127.0.0.1:{p}" for p in ports[:3]],
+                [b"k" * 32],
+                rng.random,
+                rng.randbytes(16),
+                transport.send,
+                loop.clock.now_us(),
+            )
+        )
         loop.call_later(rng.randrange(TICK_US), tick, i)
     everyone = {link.id for link in links}
     assert loop.run_until(lambda: all(len(link.members.alive()) == n - 1 for link in links), 20_000_000)
@@ -93,8 +107,9 @@
         transports[victim] = None
         dead.add(victim)
         at = loop.clock.now_us()
-        assert loop.run_until(lambda: all(links[i].members.state_of(links[victim].id) == "gone"
-                                          for i in range(n) if i not in dead), 20_000_000)
+        assert loop.run_until(
+            lambda: all(links[i].members.state_of(links[victim].id) == "gone" for i in range(n) if i not in dead), 20_000_000
+        )
         took.append((loop.clock.now_us() - at) / 1000)
     for transport in transports:
         if transport is not None:
@@ -125,21 +140,29 @@
     seeds = args.seeds
     for n, count in ((20, seeds * 3), (200, seeds)):
         took, _ = killed(n, count)
-        print(f"simulated, {n}: killed known to all, {len(took)} kills: median {middle(took, 0.5):.0f} ms, "
-              f"p99 {middle(took, 0.99):.0f} ms, most {max(took):.0f} ms")
+        print(
+            f"simulated, {n}: killed known to all, {len(took)} kills: median {middle(took, 0.5):.0f} ms, "
+            f"p99 {middle(took, 0.99):.0f} ms, most {max(took):.0f} ms"
+        )
     for n, count in ((20, seeds), (200, max(1, seeds // 5))):
         took, alarms = killed(n, count, 0.05)
-        print(f"simulated, {n}, 5% loss: median {middle(took, 0.5):.0f} ms, most {max(took):.0f} ms, "
-              f"live ones declared gone {alarms}")
+        print(
+            f"simulated, {n}, 5% loss: median {middle(took, 0.5):.0f} ms, most {max(took):.0f} ms, "
+            f"live ones declared gone {alarms}"
+        )
     for n in (20, 200):
         out, messages, spent, start = idle(n)
-        print(f"simulated, {n}, idle: {out / 1000:.2f} kB/s and {messages:.1f} messages/s a copy, "
-              f"deciding part {100 * spent:.2f}% of a core; all starting within 1 s, the busiest sent "
-              f"{start} messages in its first 40 s")
+        print(
+            f"simulated, {n}, idle: {out / 1000:.2f} kB/s and {messages:.1f} messages/s a copy, "
+            f"deciding part {100 * spent:.2f}% of a core; all starting within 1 s, the busiest sent "
+            f"{start} messages in its first 40 s"
+        )
     took, share, traffic, n = real(20)
     told = ", ".join(f"{t:.0f}" for t in took)
-    print(f"real sockets, {n} in one process: killed known to all {told} ms; idle "
-          f"{100 * share:.2f}% of a core and {traffic / 1000:.2f} kB/s a copy")
+    print(
+        f"real sockets, {n} in one process: killed known to all {told} ms; idle "
+        f"{100 * share:.2f}% of a core and {traffic / 1000:.2f} kB/s a copy"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -3,6 +3,7 @@
 find      time until a gateway's discovery has told all boxes of a service with 2,000 instances, questions asked, CPU
 steady    CPU and questions a second to keep them known, with lifetimes of 30 s
 flood     2,000 boxes announced at once: lists handed to the decisions, the largest, and the longest round during it"""
+
 import os
 import random
 import subprocess
@@ -28,6 +29,7 @@
 class Quiet:
     def info(self, *_, **__):
         pass
+
     warning = info
 
 
@@ -53,8 +55,11 @@
     loop = Loop(Clock())
     resolver = Resolver(loop, [("127.0.0.1", port)], random.Random(1))
     browser = Browser(SERVICE, Cache())
-    return loop, resolver, Discovery(loop, resolver, {"sd": browser}, lambda f: f, lambda s, rows: told.append(len(rows)),
-                                     lambda: None, Quiet())
+    return (
+        loop,
+        resolver,
+        Discovery(loop, resolver, {"sd": browser}, lambda f: f, lambda s, rows: told.append(len(rows)), lambda: None, Quiet()),
+    )
 
 
 def find_and_keep(n):
@@ -63,12 +68,16 @@
         told, start, used = [], time.perf_counter(), cpu()
         loop, resolver, found = discovery(int(child.stdout.readline()), told)
         loop.run_until(lambda: told and told[-1] == n, 120 * S)
-        click.echo(f"find  {told[-1:]} boxes in {time.perf_counter() - start:.2f} s, {cpu() - used:.2f} s of CPU, "
-                   f"{resolver.counts['asked']} questions, told {len(told)} times")
+        click.echo(
+            f"find  {told[-1:]} boxes in {time.perf_counter() - start:.2f} s, {cpu() - used:.2f} s of CPU, "
+            f"{resolver.counts['asked']} questions, told {len(told)} times"
+        )
         asked, used, start = resolver.counts["asked"], cpu(), time.perf_counter()
         loop.run_until(lambda: False, 60 * S)
         past = time.perf_counter() - start
-        click.echo(f"steady  {(resolver.counts['asked'] - asked) / past:.0f} questions a second, {(cpu() - used) / past:.3f} of a core")
+        click.echo(
+            f"steady  {(resolver.counts['asked'] - asked) / past:.0f} questions a second, {(cpu() - used) / past:.3f} of a core"
+        )
         found.close()
     finally:
         child.kill()
@@ -84,11 +93,22 @@
     members, out = Membership(), Sink()
     members.list([], 0)
     group = EndpointGroup("g", "replayable", "all", 0, 1_000_000, 40_000, 60_000, 1.0, 0.3)
-    router = Router(1, {"balancers": 1, "me": 0, "az": 0, "resolution_us": 10_000, "groups": [group], "tenants": [],
-                        "limits": {"max_attempts": 4, "retry_after": True, "cancel": True, "max_retry_after_us": 1_000_000},
-                        "rules": {"cold_from": 0.25, "ramp_time_us": 12 * S, "fall_multiple": 2.5, "overload_for_us": S},
-                        "penalties": {"cross_zone": 0.02}, "family_info": {
-                            "duty_by_kind": ["read", "write"], "far_price": 0.03, "kind_memory_tokens": [100_000] * 2}}, 0)
+    router = Router(
+        1,
+        {
+            "balancers": 1,
+            "me": 0,
+            "az": 0,
+            "resolution_us": 10_000,
+            "groups": [group],
+            "tenants": [],
+            "limits": {"max_attempts": 4, "retry_after": True, "cancel": True, "max_retry_after_us": 1_000_000},
+            "rules": {"cold_from": 0.25, "ramp_time_us": 12 * S, "fall_multiple": 2.5, "overload_for_us": S},
+            "penalties": {"cross_zone": 0.02},
+            "family_info": {"duty_by_kind": ["read", "write"], "far_price": 0.03, "kind_memory_tokens": [100_000] * 2},
+        },
+        0,
+    )
     rows = [Server(f"10.1.{i // 250}.{i % 250}:9000", i % 4, i % 16, i % 2, 1.0, 0, "ready") for i in range(n)]
     now, lists, worst, total, most = S, 0, 0.0, 0.0, 0
     event = members.records("sd", rows, now)
@@ -100,8 +120,10 @@
             lists, worst, total, most = lists + 1, max(worst, took), total + took, max(most, len(event[2]))
         now += 200_000
         event = members.tick(now)
-    click.echo(f"flood  {len(members.told)} boxes in {now / S - 1:.0f} s of the clock, {lists} lists, the largest {most} rows; "
-               f"round {worst * 1e3:.0f} ms at most, {total / max(1, lists) * 1e3:.0f} ms on average")
+    click.echo(
+        f"flood  {len(members.told)} boxes in {now / S - 1:.0f} s of the clock, {lists} lists, the largest {most} rows; "
+        f"round {worst * 1e3:.0f} ms at most, {total / max(1, lists) * 1e3:.0f} ms on average"
+    )
 
 
 @click.command()
--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -1,14 +1,17 @@
 """httptools against h11 on a chat call: python -m benchmarks.parsers (needs h11, which the program does not)."""
+
 import time
 
 import h11
 import httptools
 
 BODY = b'{"model": "q", "stream": true, "messages": [{"role": "user", "content": "soup?"}]}'
-HEAD = (b"POST /v1/chat/completions HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nAccept: application/json\r\n"
-        b"Accept-Encoding: gzip, deflate\r\nConnection: keep-alive\r\nContent-Type: application/json\r\n"
-        b"User-Agent: client/1.0\r\nAuthorization: Bearer demo\r\nx-session-id: 17\r\n"
-        b"Content-Length: %d\r\n\r\n" % len(BODY))
+HEAD = (
+    b"POST /v1/chat/completions HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nAccept: application/json\r\n"
+    b"Accept-Encoding: gzip, deflate\r\nConnection: keep-alive\r\nContent-Type: application/json\r\n"
+    b"User-Agent: client/1.0\r\nAuthorization: Bearer demo\r\nx-session-id: 17\r\n"
+    b"Content-Length: %d\r\n\r\n" % len(BODY)
+)
 
 
 class Sink:
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,7 +1,8 @@
 """How long gateways take to be ready that start all at once and share a core, by phase. Real processes on loopback.
 
-    .venv/bin/python benchmarks/ready.py [gateways on one core]
+.venv/bin/python benchmarks/ready.py [gateways on one core]
 """
+
 import compileall
 import json
 import os
@@ -23,8 +24,19 @@
 
 
 def endpoints(count):
-    return [{"name": f"s-{i}", "address": f"127.0.0.1:{2000 + i}", "zone": "ab"[i % 2], "type": ("read", "write")[i % 2],
-             "group": i % 8, "status": "SERVING", "weight": 1.0, "since_ms": 0} for i in range(count)]
+    return [
+        {
+            "name": f"s-{i}",
+            "address": f"127.0.0.1:{2000 + i}",
+            "zone": "ab"[i % 2],
+            "type": ("read", "write")[i % 2],
+            "group": i % 8,
+            "status": "SERVING",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        for i in range(count)
+    ]
 
 
 def measure(gateways, servers, known, down_s, limit_s=30):
@@ -39,14 +51,27 @@
         began = loop.clock.now_us()
         for i, port in enumerate(ports):
             path = Path(folder) / f"{i}.json"
-            path.write_text(json.dumps({
-                "name": f"n{i}", "listen": f"127.0.0.1:{port}", "discovery": platform.discovery.address, "seed": f"{i + 1:x}",
-                "limits": {"cores": 1 / gateways, "memory_mb": 128, "sockets": 512}, "settings": SETTINGS,
-                "known": {"index": 1, "snapshot": True, "endpoints": rows} if known else None}))
-            programs.append(subprocess.Popen(
-                [sys.executable, "-m", "lapiswing.node"], stderr=subprocess.DEVNULL,
-                env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"},
-                preexec_fn=lambda: os.sched_setaffinity(0, {min(os.sched_getaffinity(0))})))
+            path.write_text(
+                json.dumps(
+                    {
+                        "name": f"n{i}",
+                        "listen": f"127.0.0.1:{port}",
+                        "discovery": platform.discovery.address,
+                        "seed": f"{i + 1:x}",
+                        "limits": {"cores": 1 / gateways, "memory_mb": 128, "sockets": 512},
+                        "settings": SETTINGS,
+                        "known": {"index": 1, "snapshot": True, "endpoints": rows} if known else None,
+                    }
+                )
+            )
+            programs.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", "lapiswing.node"],
+                    stderr=subprocess.DEVNULL,
+                    env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"},
+                    preexec_fn=lambda: os.sched_setaffinity(0, {min(os.sched_getaffinity(0))}),
+                )
+            )
         loop.call_later(int(down_s * S), setattr, platform.discovery, "silent", False)
         try:
             while len(ready) < gateways and loop.clock.now_us() - began < limit_s * S:
@@ -68,18 +93,35 @@
 
 def phases():
     """Seconds of processor time: imports; configuration and first list at 100 and 1,024 servers."""
-    code = ("import time; a = time.process_time(); import lapiswing.node.serve; print(time.process_time() - a)")
-    imports = float(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True,
-                                   env={**os.environ, "OPENBLAS_NUM_THREADS": "1"}).stdout)
+    code = "import time; a = time.process_time(); import lapiswing.node.serve; print(time.process_time() - a)"
+    imports = float(
+        subprocess.run(
+            [sys.executable, "-c", code],
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "OPENBLAS_NUM_THREADS": "1"},
+        ).stdout
+    )
     from lapiswing.node.serve import Node
+
     rows = []
     for servers in (100, 1024):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "c.json"
-            path.write_text(json.dumps({
-                "name": "n", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "seed": "1",
-                "limits": {"cores": 1, "memory_mb": 128, "sockets": 512}, "settings": SETTINGS,
-                "known": {"index": 1, "snapshot": True, "endpoints": endpoints(servers)}}))
+            path.write_text(
+                json.dumps(
+                    {
+                        "name": "n",
+                        "listen": "127.0.0.1:9",
+                        "discovery": "127.0.0.1:8",
+                        "seed": "1",
+                        "limits": {"cores": 1, "memory_mb": 128, "sockets": 512},
+                        "settings": SETTINGS,
+                        "known": {"index": 1, "snapshot": True, "endpoints": endpoints(servers)},
+                    }
+                )
+            )
             at = [time.process_time()]
             node = Node(str(path), type("Log", (), {"__getattr__": lambda self, name: lambda *a, **k: None})())
             at.append(time.process_time())
@@ -101,8 +143,10 @@
             for down_s in (0, 3):
                 times = measure(gateways, servers, known, down_s)
                 nine = times[gateways * 9 // 10 - 1] if len(times) >= gateways * 9 // 10 else None
-                print(f"{gateways} on one core, {servers} servers, known {'full' if known else 'empty'}, discovery down "
-                      f"{down_s} s: nine in ten ready after {nine and round(nine, 1)} s, last {times[-1]:.1f} s")
+                print(
+                    f"{gateways} on one core, {servers} servers, known {'full' if known else 'empty'}, discovery down "
+                    f"{down_s} s: nine in ten ready after {nine and round(nine, 1)} s, last {times[-1]:.1f} s"
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,4 +1,5 @@
 """The commands of the scale rig: `python -m benchmarks.scale --help`."""
+
 import json
 import os
 import sys
@@ -98,8 +99,15 @@
 @main.command()
 def target():
     """The operators' size, and how little one gateway sees of it."""
-    for name in [*TARGET.__dataclass_fields__, "prefill_servers", "decode_servers", "requests_a_gateway", "tokens_a_request",
-                 "seconds_between_reads", "hours_between_pairs"]:
+    for name in [
+        *TARGET.__dataclass_fields__,
+        "prefill_servers",
+        "decode_servers",
+        "requests_a_gateway",
+        "tokens_a_request",
+        "seconds_between_reads",
+        "hours_between_pairs",
+    ]:
         click.echo(f"{name:<26} {getattr(TARGET, name):.4g}")
 
 
--- a/benchmarks/scale/charts.py
+++ b/benchmarks/scale/charts.py
@@ -1,7 +1,8 @@
 """Cost against size, with limit and target marked: drawn from the records of `router` runs.
 
-    .venv/bin/python -m benchmarks.scale charts
+.venv/bin/python -m benchmarks.scale charts
 """
+
 import json
 from pathlib import Path
 
@@ -14,7 +15,8 @@
     ("timers_core", "decisions and timers, % of a core", 0.6, 100),
     ("longest_timer_ms", "longest timer, ms", 10, 1),
     ("change_ms", "one server's row changes, ms", 10, 1),
-    ("state_bytes", "state of one Router, MB", 10, 1 / MEGABYTE))
+    ("state_bytes", "state of one Router, MB", 10, 1 / MEGABYTE),
+)
 
 
 def middle(values):
@@ -43,9 +45,11 @@
 def draw():
     """-> the picture's path."""
     import matplotlib
+
     matplotlib.use("Agg")
     matplotlib.rcParams["svg.hashsalt"] = "lapiswing"  # the same picture each time
     import matplotlib.pyplot as plot
+
     records = {name: json.loads((RECORDS / f"{name}.json").read_text()) for name in RUNS if (RECORDS / f"{name}.json").exists()}
     figure, axes = plot.subplots(2, 2, figsize=(10, 7), layout="constrained")
     for one, panel in zip(axes.flat, PANELS):
--- a/benchmarks/scale/clients.py
+++ b/benchmarks/scale/clients.py
@@ -1,4 +1,5 @@
 """Clients of the real gateways: requests at a steady mean rate, their first tokens and the delay of every event."""
+
 import json
 from collections import Counter
 
@@ -72,12 +73,22 @@
         gateway = int(self.chance.integers(len(self.ports)))
         self.asked += 1
         self.open += 1
-        fields = [(b"req-id", b"%d-%d" % (gateway, self.asked)), (b"req-kind", b"chat"),
-                  (b"req-key", b"s%d" % self.chance.integers(1 << 40)), (b"req-deadline", b"%.3f" % DEADLINE_S),
-                  (b"req-extra", b"prefix=p%d,prompt_len=1000,prefix_len=500,max_out=260" % self.chance.integers(200)),
-                  (b"content-type", b"application/json")]
-        self.pool.request(("127.0.0.1", self.ports[gateway]), b"POST", b"/v1/chat/completions", fields, BODY,
-                          Request(self, self.loop.clock.now_us()))
+        fields = [
+            (b"req-id", b"%d-%d" % (gateway, self.asked)),
+            (b"req-kind", b"chat"),
+            (b"req-key", b"s%d" % self.chance.integers(1 << 40)),
+            (b"req-deadline", b"%.3f" % DEADLINE_S),
+            (b"req-extra", b"prefix=p%d,prompt_len=1000,prefix_len=500,max_out=260" % self.chance.integers(200)),
+            (b"content-type", b"application/json"),
+        ]
+        self.pool.request(
+            ("127.0.0.1", self.ports[gateway]),
+            b"POST",
+            b"/v1/chat/completions",
+            fields,
+            BODY,
+            Request(self, self.loop.clock.now_us()),
+        )
 
     def stop(self):
         self.stopped = True
--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -1,5 +1,6 @@
 """Discovery for a whole fleet: the whole list, changes, silence and the storm of watches at its return. It stands for
 the agents on all gateways' machines, and counts what they are asked and sent."""
+
 from collections import Counter
 
 import orjson
@@ -86,5 +87,8 @@
     silent_us = 0
 
     def report(self):
-        return {"counts": dict(self.counts), "busiest_second": self.busiest,
-                "told": [[*key, at] for key, at in self.told_us.items()]}
+        return {
+            "counts": dict(self.counts),
+            "busiest_second": self.busiest,
+            "told": [[*key, at] for key, at in self.told_us.items()],
+        }
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -5,6 +5,7 @@
 
     .venv/bin/python -m benchmarks.scale fleet [--gateways 410] [--servers 640] [--faults none,machine,rack,...]
 """
+
 import heapq
 from collections import Counter, OrderedDict
 from dataclasses import dataclass
@@ -50,6 +51,7 @@
 @dataclass
 class Served:
     """Parts of what was asked: answered in time, late or not; of the longest tenth of the prompts; of small tenants."""
+
     asked: int
     in_time: float
     answered: float
@@ -94,8 +96,7 @@
 
     @property
     def in_time(self):
-        return self.first_us is not None and (
-            self.first_us - self.arrived_us <= TARGET_US + TARGET_PER_TOKEN_US * self.tokens)
+        return self.first_us is not None and (self.first_us - self.arrived_us <= TARGET_US + TARGET_PER_TOKEN_US * self.tokens)
 
 
 class ModelServer:
@@ -124,8 +125,7 @@
 
 
 class ScaleFleet:
-    def __init__(self, seed, gateways, servers, fault, seconds, subset=0,
-                 requests_a_gateway=TARGET.requests_a_gateway):
+    def __init__(self, seed, gateways, servers, fault, seconds, subset=0, requests_a_gateway=TARGET.requests_a_gateway):
         """`subset`: how many of the servers each gateway works with, whole racks of each zone; 0: all."""
         self.fault, self.seconds = FleetFault(fault), seconds
         # Apart, so that two versions under one seed are asked the very same.
@@ -210,8 +210,11 @@
         name = f"q{len(self.requests)}"
         self.requests[gateway, name] = Request(tokens, conversation, prefix, tenant, self.now)
         shared = int(SHARED_PART * tokens)
-        self.hear(gateway, self.routers[gateway], ("req", name, tokens, self.now + DEADLINE_US, conversation, prefix, shared,
-                                                   260, None, 0, tenant, 0))
+        self.hear(
+            gateway,
+            self.routers[gateway],
+            ("req", name, tokens, self.now + DEADLINE_US, conversation, prefix, shared, 260, None, 0, tenant, 0),
+        )
 
     def outcome(self, key, code, cached=0, after_us=0):
         began, server, _ = self.out.pop(key)
@@ -223,8 +226,11 @@
         model = self.servers[server]
         self.out[key] = (self.now, server, self.routers[key[0]])
         self.push(self.now + timeout_us, ("late", key))
-        cut = self.fault is FleetFault.REGION and FAULT_US <= self.now < FAULT_US + LOST_US and (
-            self.zone_of[key[0]] * 2 < TARGET.zones) != (model.row.zone * 2 < TARGET.zones)
+        cut = (
+            self.fault is FleetFault.REGION
+            and FAULT_US <= self.now < FAULT_US + LOST_US
+            and (self.zone_of[key[0]] * 2 < TARGET.zones) != (model.row.zone * 2 < TARGET.zones)
+        )
         if model.dead:
             return self.outcome(key, "unreachable", after_us=MS)
         if model.silent or cut:
@@ -374,10 +380,19 @@
         work = np.array([s.work for s in self.servers.values() if s.row.kind == 0])
         popular = [f"m{model}:1" for model in range(1, 6)]
         at = [sum(text in s.texts for s in self.servers.values()) for text in popular]
-        return Served(len(counted), part(counted), sum(r.first_us is not None for r in counted) / len(counted),
-                      part([r for r in counted if r.tokens >= long_from]), part(small),
-                      sum(parts[:max(1, len(parts) // 10)]) / max(1, len(parts) // 10), self.counted["kept"] / max(1, self.counted["tokens"]),
-                      float(np.quantile(work, 0.9) / max(1.0, work.mean())), sum(at) / len(at), self.cold_worst(), *self.moved())
+        return Served(
+            len(counted),
+            part(counted),
+            sum(r.first_us is not None for r in counted) / len(counted),
+            part([r for r in counted if r.tokens >= long_from]),
+            part(small),
+            sum(parts[: max(1, len(parts) // 10)]) / max(1, len(parts) // 10),
+            self.counted["kept"] / max(1, self.counted["tokens"]),
+            float(np.quantile(work, 0.9) / max(1.0, work.mean())),
+            sum(at) / len(at),
+            self.cold_worst(),
+            *self.moved(),
+        )
 
     def moved(self):
         tokens = [self.counted[near] for near in ("rack", "zone", "region", "other")]
@@ -385,8 +400,15 @@
 
     def cold_worst(self):
         mean_work_us = self.cost_us * MEAN_TOKENS
-        return max((heaviest(server.cold_sent, lambda at, server=server: FALL_MULTIPLE * server.level(at - S // 2) * S / mean_work_us)[0]
-                    for server in self.servers.values()), default=0.0)
+        return max(
+            (
+                heaviest(
+                    server.cold_sent, lambda at, server=server: FALL_MULTIPLE * server.level(at - S // 2) * S / mean_work_us
+                )[0]
+                for server in self.servers.values()
+            ),
+            default=0.0,
+        )
 
 
 def nearness(one, other):
--- a/benchmarks/scale/hollow_gateways.py
+++ b/benchmarks/scale/hollow_gateways.py
@@ -1,5 +1,6 @@
 """Hollow gateways: the real program of the platform, many in one process on one loop, with decisions that choose nothing.
 Discovery's watch, the list, the connection pool and the listener are those that are deployed."""
+
 import json
 from pathlib import Path
 
@@ -47,6 +48,8 @@
         return sum(len(node.rows.rows) > 0 for node in self.nodes)
 
     def report(self):
-        return {"heard": [node.core.router.heard for node in self.nodes],
-                "calls": sum(node.discovery.calls for node in self.nodes),
-                "opened": sum(node.pool.opened + node.asking.opened for node in self.nodes)}
+        return {
+            "heard": [node.core.router.heard for node in self.nodes],
+            "calls": sum(node.discovery.calls for node in self.nodes),
+            "opened": sum(node.pool.opened + node.asking.opened for node in self.nodes),
+        }
--- a/benchmarks/scale/hollow_servers.py
+++ b/benchmarks/scale/hollow_servers.py
@@ -1,5 +1,6 @@
 """Hollow model servers: many addresses in one process that accept, answer and stream at a set pace, and count what each
 gateway costs them. They hold no state and do no work."""
+
 from collections import Counter
 
 import orjson
@@ -10,7 +11,8 @@
 MS = 1000
 LONG_US = 3600 * 1000 * MS
 LAST_EVENTS = b"data: %b\n\ndata: [DONE]\n\n" % orjson.dumps(
-    {"choices": [], "usage": {"prompt_tokens": 8, "completion_tokens": 8, "prompt_tokens_details": {"cached_tokens": 0}}})
+    {"choices": [], "usage": {"prompt_tokens": 8, "completion_tokens": 8, "prompt_tokens_details": {"cached_tokens": 0}}}
+)
 
 
 def event(text):
@@ -92,5 +94,10 @@
         self.server.close()
 
     def report(self):
-        return {"counts": dict(self.counts), "gateways": len(self.by_gateway), "most_open": self.most_open,
-                "open": len(self.server.connections), "last_attempt_us": self.last_attempt_us}
+        return {
+            "counts": dict(self.counts),
+            "gateways": len(self.by_gateway),
+            "most_open": self.most_open,
+            "open": len(self.server.connections),
+            "last_attempt_us": self.last_attempt_us,
+        }
--- a/benchmarks/scale/link_cost.py
+++ b/benchmarks/scale/link_cost.py
@@ -1,4 +1,5 @@
 """What a copy on the fleet link costs, idle, as copies grow: the deciding part under a simulated clock and network."""
+
 from typing import NamedTuple
 
 from benchmarks.fleet import idle
--- a/benchmarks/scale/process_cost.py
+++ b/benchmarks/scale/process_cost.py
@@ -1,7 +1,8 @@
 """What one real gateway process costs with nothing to do, as the list grows: memory, processor time, discovery's bytes.
 
-    .venv/bin/python -m benchmarks.scale process
+.venv/bin/python -m benchmarks.scale process
 """
+
 import json
 import os
 import subprocess
@@ -34,9 +35,19 @@
 
 
 def endpoints(servers):
-    return [{"name": row.id, "address": f"127.0.0.1:{20_000 + i}", "zone": ZONES[row.zone], "type": "read" if row.kind == 0 else "write",
-             "group": row.cell, "status": "SERVING", "weight": 1.0, "since_ms": 0}
-            for i, row in enumerate(server_rows(servers, TARGET.prefill_part, TARGET.zones))]
+    return [
+        {
+            "name": row.id,
+            "address": f"127.0.0.1:{20_000 + i}",
+            "zone": ZONES[row.zone],
+            "type": "read" if row.kind == 0 else "write",
+            "group": row.cell,
+            "status": "SERVING",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        for i, row in enumerate(server_rows(servers, TARGET.prefill_part, TARGET.zones))
+    ]
 
 
 def measure(servers):
@@ -44,19 +55,39 @@
     discovery, port = FleetDiscovery(loop, rows), free_ports(1)[0]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "gateway.json"
-        path.write_text(json.dumps({
-            "name": "g0", "listen": f"127.0.0.1:{port}", "discovery": discovery.address, "seed": "a1", "known": None,
-            "settings": {**GATEWAY_SETTINGS, "Balancers": TARGET.gateways, "Zones": list(ZONES[:TARGET.zones])},
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": SOCKETS}}))
-        program = subprocess.Popen([sys.executable, "-m", "lapiswing.node"], cwd=ROOT, stderr=subprocess.DEVNULL,
-                                   env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"})
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "g0",
+                    "listen": f"127.0.0.1:{port}",
+                    "discovery": discovery.address,
+                    "seed": "a1",
+                    "known": None,
+                    "settings": {**GATEWAY_SETTINGS, "Balancers": TARGET.gateways, "Zones": list(ZONES[: TARGET.zones])},
+                    "limits": {"cores": 1.0, "memory_mb": 128, "sockets": SOCKETS},
+                }
+            )
+        )
+        program = subprocess.Popen(
+            [sys.executable, "-m", "lapiswing.node"],
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"},
+        )
         try:
             assert loop.run_until(lambda: discovery.counts["calls"] > 1, 20 * S), "the gateway did not come up"
             loop.run_until(lambda: False, SETTLED_US)
             idle_core, idle_bytes = over(loop, program, discovery, lambda: None)
             spent, sent = over(loop, program, discovery, lambda: change(loop, discovery, rows))
-            return ProcessCost(servers, resident_mb(program.pid), idle_core, len(discovery.whole_list()), idle_bytes,
-                               (spent - idle_core) * MEASURED_US / MS / CHANGES, (sent - idle_bytes) * MEASURED_US / S / CHANGES)
+            return ProcessCost(
+                servers,
+                resident_mb(program.pid),
+                idle_core,
+                len(discovery.whole_list()),
+                idle_bytes,
+                (spent - idle_core) * MEASURED_US / MS / CHANGES,
+                (sent - idle_bytes) * MEASURED_US / S / CHANGES,
+            )
         finally:
             program.kill()
             program.wait()
--- a/benchmarks/scale/rig.py
+++ b/benchmarks/scale/rig.py
@@ -1,7 +1,8 @@
 """The rig: real gateways, hollow gateways, hollow servers and a discovery on loopback sockets, under one scenario.
 
-    .venv/bin/python -m benchmarks.scale rig benchmarks/scale/scenarios/small.toml [--out record.json]
+.venv/bin/python -m benchmarks.scale rig benchmarks/scale/scenarios/small.toml [--out record.json]
 """
+
 import json
 import os
 import subprocess
@@ -29,26 +30,75 @@
 TICKS = os.sysconf("SC_CLK_TCK")
 SOCKETS = 1024
 GATEWAY_SETTINGS = {
-    "Az": 0, "Balancers": 1, "Callers": {}, "Family": "twostage", "Kinds": ["read", "write"], "Me": 0,
-    "Classes": [{"DeadlineMs": 1000 * DEADLINE_S, "Effect": "retryable", "Group": "all", "LateWorth": 0.3, "MemorySpanMs": 5000.0,
-                 "Name": "chat", "OnTimeMs": 1200.0, "Stream": True, "Value": 1.0}],
-    "FamilyInfo": {"AimUsPer1000PromptTokens": [40000.0], "DutyByKind": ["read", "write"], "FarPrice": 0.04,
-                   "KindMemoryTokens": [270000, 160000], "LetGoByMs": 500.0, "MayReserve": False, "ReadInPlace": False,
-                   "Resume": False, "TokenAimMs": [46.0]},
-    "Limits": {"Cancel": True, "ConnIdleMs": 15000.0, "ConnectTimeoutMs": 250.0, "CpuUsPerS": 1000000, "MaxAttempts": 6,
-               "MaxRetryAfterMs": 1000.0, "RetryAfter": True, "SecondCopies": False, "Probes": True},
-    "MembershipMode": "automatic", "Penalties": {"CrossZone": 0.02}, "Report": {"How": "off", "Names": []},
-    "ResolutionMs": 4.0, "Tenants": [],
-    "Rules": {"AnswerSlackMs": 16.0, "ColdFrom": 0.25, "FallMultiple": 2.5, "OverloadForMs": 1000.0, "RampTimeMs": 12000.0,
-              "StopSendingWithinMs": 1000.0}}
+    "Az": 0,
+    "Balancers": 1,
+    "Callers": {},
+    "Family": "twostage",
+    "Kinds": ["read", "write"],
+    "Me": 0,
+    "Classes": [
+        {
+            "DeadlineMs": 1000 * DEADLINE_S,
+            "Effect": "retryable",
+            "Group": "all",
+            "LateWorth": 0.3,
+            "MemorySpanMs": 5000.0,
+            "Name": "chat",
+            "OnTimeMs": 1200.0,
+            "Stream": True,
+            "Value": 1.0,
+        }
+    ],
+    "FamilyInfo": {
+        "AimUsPer1000PromptTokens": [40000.0],
+        "DutyByKind": ["read", "write"],
+        "FarPrice": 0.04,
+        "KindMemoryTokens": [270000, 160000],
+        "LetGoByMs": 500.0,
+        "MayReserve": False,
+        "ReadInPlace": False,
+        "Resume": False,
+        "TokenAimMs": [46.0],
+    },
+    "Limits": {
+        "Cancel": True,
+        "ConnIdleMs": 15000.0,
+        "ConnectTimeoutMs": 250.0,
+        "CpuUsPerS": 1000000,
+        "MaxAttempts": 6,
+        "MaxRetryAfterMs": 1000.0,
+        "RetryAfter": True,
+        "SecondCopies": False,
+        "Probes": True,
+    },
+    "MembershipMode": "automatic",
+    "Penalties": {"CrossZone": 0.02},
+    "Report": {"How": "off", "Names": []},
+    "ResolutionMs": 4.0,
+    "Tenants": [],
+    "Rules": {
+        "AnswerSlackMs": 16.0,
+        "ColdFrom": 0.25,
+        "FallMultiple": 2.5,
+        "OverloadForMs": 1000.0,
+        "RampTimeMs": 12000.0,
+        "StopSendingWithinMs": 1000.0,
+    },
+}
 
 
 class Process:
     """A worker, spoken to in lines of JSON."""
 
     def __init__(self, do, **fields):
-        self.program = subprocess.Popen([sys.executable, "-m", "benchmarks.scale.worker"], cwd=ROOT, stdin=subprocess.PIPE,
-                                        stdout=subprocess.PIPE, text=True, env={**os.environ, "OPENBLAS_NUM_THREADS": "1"})
+        self.program = subprocess.Popen(
+            [sys.executable, "-m", "benchmarks.scale.worker"],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "OPENBLAS_NUM_THREADS": "1"},
+        )
         self.send(do, **fields)
 
     def send(self, do, **fields):
@@ -93,8 +143,19 @@
     def start(self):
         fleet = self.scenario.fleet
         rows = server_rows(fleet.servers, fleet.prefill_part, fleet.zones)
-        self.rows = {row.id: {"name": row.id, "address": "", "zone": ZONES[row.zone], "type": "read" if row.kind == 0 else "write",
-                              "group": row.cell, "status": "SERVING", "weight": 1.0, "since_ms": 0} for row in rows}
+        self.rows = {
+            row.id: {
+                "name": row.id,
+                "address": "",
+                "zone": ZONES[row.zone],
+                "type": "read" if row.kind == 0 else "write",
+                "group": row.cell,
+                "status": "SERVING",
+                "weight": 1.0,
+                "since_ms": 0,
+            }
+            for row in rows
+        }
         self.start_servers()
         self.discovery = self.process("discovery", rows=list(self.rows.values()))
         self.discovery_address = self.discovery.answer()
@@ -109,8 +170,12 @@
     def start_servers(self):
         names, model, load = list(self.rows), self.scenario.server, self.scenario.load
         plain = [{f: getattr(of, f) for f in of.__struct_fields__} for of in (model, load)]
-        self.servers = [self.process("servers", rows=[self.rows[n] for n in names[at:at + SERVERS_A_PROCESS]], model=plain[0],
-                                     load=plain[1]) for at in range(0, len(names), SERVERS_A_PROCESS)]
+        self.servers = [
+            self.process(
+                "servers", rows=[self.rows[n] for n in names[at : at + SERVERS_A_PROCESS]], model=plain[0], load=plain[1]
+            )
+            for at in range(0, len(names), SERVERS_A_PROCESS)
+        ]
         for process in self.servers:
             for name, address in process.answer().items():
                 self.rows[name]["address"] = address
@@ -118,33 +183,47 @@
     def configuration(self, number, port):
         fleet = self.scenario.fleet
         told = fleet.told_gateways or fleet.real_gateways + fleet.hollow_gateways
-        settings = {**GATEWAY_SETTINGS, "Balancers": told, "Zones": list(ZONES[:fleet.zones]), "Az": number % fleet.zones}
-        return {"name": f"g{number}", "listen": f"127.0.0.1:{port}", "discovery": self.discovery_address,
-                "seed": f"{int(self.chance.integers(1 << 40)):x}", "known": None, "settings": settings,
-                "limits": {"cores": 1.0, "memory_mb": 128, "sockets": SOCKETS}}
+        settings = {**GATEWAY_SETTINGS, "Balancers": told, "Zones": list(ZONES[: fleet.zones]), "Az": number % fleet.zones}
+        return {
+            "name": f"g{number}",
+            "listen": f"127.0.0.1:{port}",
+            "discovery": self.discovery_address,
+            "seed": f"{int(self.chance.integers(1 << 40)):x}",
+            "known": None,
+            "settings": settings,
+            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": SOCKETS},
+        }
 
     def start_gateways(self):
         fleet = self.scenario.fleet
         ports = free_ports(fleet.real_gateways + fleet.hollow_gateways)
         configurations = [self.configuration(i, port) for i, port in enumerate(ports)]
         began = self.loop.clock.now_us()
-        self.configurations = configurations[:fleet.real_gateways]
-        self.ports = ports[:fleet.real_gateways]
-        hollow = configurations[fleet.real_gateways:]
-        self.gateways = [self.process("gateways", folder=self.folder.name, configurations=hollow[at:at + HOLLOW_GATEWAYS_A_PROCESS])
-                         for at in range(0, len(hollow), HOLLOW_GATEWAYS_A_PROCESS)]
+        self.configurations = configurations[: fleet.real_gateways]
+        self.ports = ports[: fleet.real_gateways]
+        hollow = configurations[fleet.real_gateways :]
+        self.gateways = [
+            self.process("gateways", folder=self.folder.name, configurations=hollow[at : at + HOLLOW_GATEWAYS_A_PROCESS])
+            for at in range(0, len(hollow), HOLLOW_GATEWAYS_A_PROCESS)
+        ]
         self.real = [self.start_real(configuration) for configuration in self.configurations]
         for process in self.gateways:
             process.answer()
-        self.record["start_s"] = {"hollow": self.until_ready(began, fleet.hollow_gateways, self.hollow_ready),
-                                  "real": self.until_ready(began, fleet.real_gateways, self.real_ready)}
+        self.record["start_s"] = {
+            "hollow": self.until_ready(began, fleet.hollow_gateways, self.hollow_ready),
+            "real": self.until_ready(began, fleet.real_gateways, self.real_ready),
+        }
         self.progress(f"{fleet.hollow_gateways} hollow and {fleet.real_gateways} real gateways ready")
 
     def start_real(self, configuration):
         path = Path(self.folder.name) / f"{configuration['name']}.json"
         path.write_text(json.dumps(configuration))
-        return subprocess.Popen([sys.executable, "-m", "lapiswing.node"], cwd=ROOT, stderr=subprocess.DEVNULL,
-                                env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"})
+        return subprocess.Popen(
+            [sys.executable, "-m", "lapiswing.node"],
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"},
+        )
 
     def until_ready(self, began, wanted, count):
         """-> seconds until all are ready."""
@@ -205,15 +284,24 @@
         heard = [rows for process in gateways for rows in process["heard"]]
         of_all = max(1, self.scenario.fleet.hollow_gateways + self.scenario.fleet.real_gateways)
         return {
-            "seconds": past_s, "asked": clients.asked, "outcomes": dict(measured.outcomes),
-            "first_token_ms": percentiles(measured.first), "event_delay_ms": percentiles(measured.delay),
+            "seconds": past_s,
+            "asked": clients.asked,
+            "outcomes": dict(measured.outcomes),
+            "first_token_ms": percentiles(measured.first),
+            "event_delay_ms": percentiles(measured.delay),
             "servers": summed(servers),
-            "discovery": {**discovery["counts"], "busiest_second": discovery["busiest_second"],
-                          "bytes_a_gateway_a_second": (discovery["counts"].get("bytes", 0) - bytes_told) / past_s / of_all,
-                          "calls_a_gateway_a_second": (sum(p["calls"] for p in gateways) - calls) / past_s
-                          / max(1, self.scenario.fleet.hollow_gateways)},
+            "discovery": {
+                **discovery["counts"],
+                "busiest_second": discovery["busiest_second"],
+                "bytes_a_gateway_a_second": (discovery["counts"].get("bytes", 0) - bytes_told) / past_s / of_all,
+                "calls_a_gateway_a_second": (sum(p["calls"] for p in gateways) - calls)
+                / past_s
+                / max(1, self.scenario.fleet.hollow_gateways),
+            },
             "changes": last_to_act(discovery["told"], heard),
-            "late_attempts": late_attempts(discovery["told"], servers), "restarts": self.restarts}
+            "late_attempts": late_attempts(discovery["told"], servers),
+            "restarts": self.restarts,
+        }
 
     # ---- faults
 
@@ -258,6 +346,7 @@
             self.all_servers("silent", names=names, on=False)
             if cold:
                 self.tell(names, status="SERVING", since_ms=self.since_now())
+
         self.loop.call_later(int(fault.for_s * S), back)
 
     def change(self, fault):
@@ -323,20 +412,33 @@
     for name, status, role, at in told:
         times = []
         for gateway in heard:
-            later = [now - at for row, mode, kind, now in gateway if row == name and now >= at and (
-                mode == modes[status] and (mode == "gone" or kind == kinds[role]))]
+            later = [
+                now - at
+                for row, mode, kind, now in gateway
+                if row == name and now >= at and (mode == modes[status] and (mode == "gone" or kind == kinds[role]))
+            ]
             if later:
                 times.append(min(later))
         if heard:
             times.sort()
-            rows.append({"server": name, "status": status, "heard_by": len(times), "of": len(heard),
-                         "middle_ms": times[len(times) // 2] / MS if times else None,
-                         "last_ms": times[-1] / MS if len(times) == len(heard) else None})
+            rows.append(
+                {
+                    "server": name,
+                    "status": status,
+                    "heard_by": len(times),
+                    "of": len(heard),
+                    "middle_ms": times[len(times) // 2] / MS if times else None,
+                    "last_ms": times[-1] / MS if len(times) == len(heard) else None,
+                }
+            )
     return rows
 
 
 def late_attempts(told, servers):
     """How many servers were sent an attempt more than 6 s after all could know that they drain or are gone for good."""
     last = {name: (at, status) for name, status, _, at in sorted(told, key=lambda row: row[3])}
-    return sum(servers[name]["last_attempt_us"] > at + 6 * S for name, (at, status) in last.items()
-               if status != "SERVING" and name in servers)
+    return sum(
+        servers[name]["last_attempt_us"] > at + 6 * S
+        for name, (at, status) in last.items()
+        if status != "SERVING" and name in servers
+    )
--- a/benchmarks/scale/router_cost.py
+++ b/benchmarks/scale/router_cost.py
@@ -1,7 +1,8 @@
 """What one Router costs as the list grows: processor time, allocations and state, in simulated time, with no sockets.
 
-    .venv/bin/python -m benchmarks.scale router [--sizes 160,320,640,1024,1280] [--seconds 20] [--plays 3]
+.venv/bin/python -m benchmarks.scale router [--sizes 160,320,640,1024,1280] [--seconds 20] [--plays 3]
 """
+
 import gc
 import heapq
 import time
@@ -21,6 +22,7 @@
 
 class RouterCost(NamedTuple):
     """Milliseconds and bytes of one Router at one size."""
+
     servers: int
     first_list_ms: float
     change_ms: float  # one server's row changes; the mean of ten
@@ -76,8 +78,20 @@
         self.requests += 1
         tokens = int(1000 * self.chance.lognormal(-0.32, 0.8)) + 20
         prefix = f"p{int(self.chance.zipf(1.5)) % PREFIXES}"
-        return ("req", f"q{self.requests}", tokens, self.now + 6 * S, f"s{self.requests}", prefix, tokens // 2, 260, None, 0,
-                int(self.chance.integers(TARGET.tenants)), 0)
+        return (
+            "req",
+            f"q{self.requests}",
+            tokens,
+            self.now + 6 * S,
+            f"s{self.requests}",
+            prefix,
+            tokens // 2,
+            260,
+            None,
+            0,
+            int(self.chance.integers(TARGET.tenants)),
+            0,
+        )
 
     def run(self, seconds):
         end = self.now + int(seconds * S)
@@ -139,9 +153,18 @@
         gc.enable()
     past_s, asked = (play.now - began_us) / S, play.requests - requests
     spent = {of: np.array(times) for of, times in play.spent.items()}
-    return RouterCost(servers, play.first_list_s * 1e3, spent["change"].mean() * 1e3, spent["change"].max() * 1e3,
-                      spent["timer"].mean() * 1e3, spent["timer"].max() * 1e3, spent["request"].sum() * 1e3 / asked,
-                      spent["timer"].sum() / past_s, spent["request"].sum() / past_s, 0)
+    return RouterCost(
+        servers,
+        play.first_list_s * 1e3,
+        spent["change"].mean() * 1e3,
+        spent["change"].max() * 1e3,
+        spent["timer"].mean() * 1e3,
+        spent["timer"].max() * 1e3,
+        spent["request"].sum() * 1e3 / asked,
+        spent["timer"].sum() / past_s,
+        spent["request"].sum() / past_s,
+        0,
+    )
 
 
 def slope(sizes, seconds, plays):
--- a/benchmarks/scale/scenario.py
+++ b/benchmarks/scale/scenario.py
@@ -1,4 +1,5 @@
 """A scenario of the rig: sizes, load, faults and seed, read from a TOML file and checked before any process starts."""
+
 import os
 import tomllib
 from enum import StrEnum
@@ -92,8 +93,12 @@
     def memory_mb(self):
         fleet = self.fleet
         workers = self.processes - fleet.real_gateways
-        return (workers * WORKER_MB + fleet.real_gateways * REAL_GATEWAY_MB + fleet.hollow_gateways * HOLLOW_GATEWAY_MB
-                + fleet.servers * HOLLOW_SERVER_MB)
+        return (
+            workers * WORKER_MB
+            + fleet.real_gateways * REAL_GATEWAY_MB
+            + fleet.hollow_gateways * HOLLOW_GATEWAY_MB
+            + fleet.servers * HOLLOW_SERVER_MB
+        )
 
 
 def load(path):
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -1,4 +1,5 @@
 """Settings and server rows as a gateway of the target's fleet is given them."""
+
 from lapiswing.interface import EndpointGroup, Server
 
 MS, S = 1000, 1_000_000
@@ -11,13 +12,24 @@
     """What `Router` is given. Each tenant's share is an equal one of `requests` a second."""
     group = EndpointGroup("chat", "replayable", "all", 5 * S, 1200 * MS, 40 * MS, 46 * MS, 1.0, 0.3)
     return {
-        "balancers": gateways, "az": 0, "me": 0, "resolution_us": 4 * MS, "groups": [group],
+        "balancers": gateways,
+        "az": 0,
+        "me": 0,
+        "resolution_us": 4 * MS,
+        "groups": [group],
         "tenants": [{"name": f"t{i}", "quota_rps": requests / tenants} for i in range(tenants)],
-        "membership_mode": "automatic", "penalties": {"cross_zone": 0.02}, "kinds": list(KINDS),
+        "membership_mode": "automatic",
+        "penalties": {"cross_zone": 0.02},
+        "kinds": list(KINDS),
         "limits": {"max_attempts": 6, "retry_after": True, "max_retry_after_us": S, "cancel": True},
         "rules": {"cold_from": cold_from, "ramp_time_us": 12 * S, "fall_multiple": 2.5, "overload_for_us": S},
-        "family_info": {"duty_by_kind": list(KINDS), "kind_memory_tokens": [270_000, 160_000], "far_price": 0.04,
-                        "let_go_by_us": 500 * MS}}
+        "family_info": {
+            "duty_by_kind": list(KINDS),
+            "kind_memory_tokens": [270_000, 160_000],
+            "far_price": 0.04,
+            "let_go_by_us": 500 * MS,
+        },
+    }
 
 
 def server_rows(servers, prefill_part, zones):
--- a/benchmarks/scale/target.py
+++ b/benchmarks/scale/target.py
@@ -1,4 +1,5 @@
 """The size and the bounds that the operators name. Everything in `benchmarks/scale` and `tests/scale` reads them here."""
+
 from dataclasses import dataclass
 
 MEGABYTE = 1 << 20
@@ -7,6 +8,7 @@
 @dataclass(frozen=True)
 class Target:
     """Counts are of whole things, rates are a second at the peak, bounds are for one gateway where nothing else is said."""
+
     gateways: int = 410
     servers: int = 640
     accelerators: int = 2500
--- a/benchmarks/scale/tenants.py
+++ b/benchmarks/scale/tenants.py
@@ -2,6 +2,7 @@
 
 A share is divided evenly over gateways. A tenant that asks for exactly its whole share, through so many gateways as are
 named, is counted as over its share from some request on."""
+
 from typing import NamedTuple
 
 from benchmarks.scale.router_cost import Play
@@ -34,6 +35,7 @@
         if request.over and not first:
             first = asked
         real(request)
+
     play.router.read = look
     for number in range(int(hours * 3600 * S / every_us)):
         play.run(every_us / S)
--- a/benchmarks/scale/worker.py
+++ b/benchmarks/scale/worker.py
@@ -3,6 +3,7 @@
 
     python -m benchmarks.scale.worker
 """
+
 import json
 import os
 import selectors
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -6,6 +6,7 @@
 idle    memory of the gateway for each of 2,000 idle sessions, and for each of 500 with one stream
 turns   gaps between the events of a session with one stream, beside a session with 200, turns fair and first come
 return  1,000 sessions drop together and come back together: how long until each has its next event"""
+
 import json
 import subprocess
 import sys
@@ -52,8 +53,11 @@
     def ask(self):
         self.asked += 1
         length = self.lasts or LENGTHS[(self.asked * 17) % len(LENGTHS)]
-        self.say(type="call", id=f"c{self.asked}", body={"model": "q", "stream": True, "max_tokens": length, "x": 0,
-                                                         "messages": [{"role": "user", "content": "soup?"}]})
+        self.say(
+            type="call",
+            id=f"c{self.asked}",
+            body={"model": "q", "stream": True, "max_tokens": length, "x": 0, "messages": [{"role": "user", "content": "soup?"}]},
+        )
 
     def on_data(self, data):
         if not self.greeted:  # the handshake, by the library; what follows is only counted
@@ -114,6 +118,7 @@
         from lapiswing.gateway.serve import Gateway
         from lapiswing.observe import start_logs
         from lapiswing.settings import load_text
+
         gateway = Gateway(read_settings(args[0], load_text), start_logs("warning"))
         gateway.sessions.book.fair = False
         return run(gateway)
@@ -135,14 +140,24 @@
             t.seen, t.tail = {}, b""
             t.connect()
         loop.run_until(lambda: not crowd.waiting, 60_000_000)
-        print(json.dumps({"sessions": sessions, "all_served_ms": (loop.clock.now_us() - start) // 1000,
-                          "not_served": len(crowd.waiting)}))
+        print(
+            json.dumps(
+                {"sessions": sessions, "all_served_ms": (loop.clock.now_us() - start) // 1000, "not_served": len(crowd.waiting)}
+            )
+        )
         return None
     loop.call_at(crowd.end + 100_000, loop.stop)
     loop.run()
-    print(json.dumps({"events": crowd.events, "failed": crowd.failed,
-                      "gap_p50_ms": crowd.gaps.get_value_at_percentile(50) / 1000,
-                      "gap_p99_ms": crowd.gaps.get_value_at_percentile(99) / 1000}))
+    print(
+        json.dumps(
+            {
+                "events": crowd.events,
+                "failed": crowd.failed,
+                "gap_p50_ms": crowd.gaps.get_value_at_percentile(50) / 1000,
+                "gap_p99_ms": crowd.gaps.get_value_at_percentile(99) / 1000,
+            }
+        )
+    )
     return None
 
 
@@ -158,10 +173,12 @@
         self.children = [child("source", a, pace), child("source", b, pace)]
         wait_port(a), wait_port(b)
         file = Path(tempfile.mkdtemp(prefix="lapiswing-bench-")) / "s.txtpb"
-        file.write_text(SETTINGS.format(port=self.port, boxes=more + "".join(
-            f'box {{ id: "127.0.0.1:{p}" kind: "mx" }}\n' for p in (a, b))))
-        self.gateway = (subprocess.Popen([sys.executable, "-m", "lapiswing", "serve", str(file)]) if fair
-                        else mine("gateway", file))
+        file.write_text(
+            SETTINGS.format(port=self.port, boxes=more + "".join(f'box {{ id: "127.0.0.1:{p}" kind: "mx" }}\n' for p in (a, b)))
+        )
+        self.gateway = (
+            subprocess.Popen([sys.executable, "-m", "lapiswing", "serve", str(file)]) if fair else mine("gateway", file)
+        )
         self.children.append(self.gateway)
         wait_port(self.port)
 
@@ -198,8 +215,15 @@
                     loads = [mine("load", s.port, streams // 40, 20, seconds, stdout=subprocess.PIPE) for _ in range(2)]
                 cpu = s.cpu_during(seconds)
                 events = sum(json.loads(p.communicate(timeout=90)[0])["events"] for p in loads) / seconds
-                tell(part="rate", kind=kind, streams=streams, pace_ms=pace, events_s=round(events), cpu=round(cpu, 3),
-                     cpu_us_event=round(cpu / events * 1e6, 2))
+                tell(
+                    part="rate",
+                    kind=kind,
+                    streams=streams,
+                    pace_ms=pace,
+                    events_s=round(events),
+                    cpu=round(cpu, 3),
+                    cpu_us_event=round(cpu / events * 1e6, 2),
+                )
 
 
 def idle(_seconds):
@@ -224,8 +248,14 @@
             big = mine("load", s.port, 1, 200, seconds, stdout=subprocess.PIPE)
             row = json.loads(small.communicate(timeout=90)[0])
             events = json.loads(big.communicate(timeout=90)[0])["events"] / seconds
-            tell(part="turns", fair=fair, big_events_s=round(events), small_events_s=round(row["events"] / seconds),
-                 gap_p50_ms=row["gap_p50_ms"], gap_p99_ms=row["gap_p99_ms"])
+            tell(
+                part="turns",
+                fair=fair,
+                big_events_s=round(events),
+                small_events_s=round(row["events"] / seconds),
+                gap_p50_ms=row["gap_p50_ms"],
+                gap_p99_ms=row["gap_p99_ms"],
+            )
 
 
 def back(_seconds):
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -6,6 +6,7 @@
 recovery   opening with 1 million keys, with and without hints
 space      bytes on the disk for each byte that counts, over 60,000 puts at 5,000 a second on 5,000 keys with compaction as the gateway runs it
 latency    how late the loop is for its timers beside a compaction of 200,000 keys, as a task and without budgets"""
+
 import os
 import shutil
 import tempfile
@@ -36,8 +37,12 @@
     rows = []
     base = bare(folder)
     rows.append(("bare write and fdatasync, one by one", base))
-    for what, waiting, durable in (("durable, one by one", 1, True), ("durable, 64 waiting", 64, True),
-                                   ("durable, 1000 waiting", 1000, True), ("without syncs, 64 waiting", 64, False)):
+    for what, waiting, durable in (
+        ("durable, one by one", 1, True),
+        ("durable, 64 waiting", 64, True),
+        ("durable, 1000 waiting", 1000, True),
+        ("without syncs, 64 waiting", 64, False),
+    ):
         loop = Loop(Clock())
         where = tempfile.mkdtemp(dir=folder)
         engine = Engine(Files(where), Worker(loop), durable=durable).open()
@@ -48,6 +53,7 @@
             count[0] += 1
             if not over[0]:
                 engine.put([(b"k%d" % (count[0] % 10_000), VALUE, 0)], again)
+
         start = time.perf_counter()
         for i in range(waiting):
             engine.put([(b"s%d" % i, VALUE, 0)], again)
@@ -68,8 +74,10 @@
     start = time.perf_counter()
     for at in range(0, n, 500):
         engine.put([(b"k/key-%07d" % i, VALUE[:60], 0) for i in range(at, at + 500)])
-    click.echo(f"recovery  filled with {n} keys in {time.perf_counter() - start:.1f} s, {sum(engine.sizes.values()) >> 20} MiB, "
-               f"{len(engine.segments)} segments")
+    click.echo(
+        f"recovery  filled with {n} keys in {time.perf_counter() - start:.1f} s, {sum(engine.sizes.values()) >> 20} MiB, "
+        f"{len(engine.segments)} segments"
+    )
     engine.close()
     for what in ("with hints", "without hints"):
         if what == "without hints":
@@ -102,8 +110,10 @@
                 ratio = sum(engine.sizes.values()) / engine.index.bytes
                 seen.append(ratio)
                 worst = max(worst, ratio)
-    click.echo(f"space  {sum(seen) / len(seen):.2f} bytes on the disk for each that counts, at most {worst:.2f}; "
-               f"{engine.counts['compacted']} segments compacted, {engine.counts['copied']} records copied of 60000 put")
+    click.echo(
+        f"space  {sum(seen) / len(seen):.2f} bytes on the disk for each that counts, at most {worst:.2f}; "
+        f"{engine.counts['compacted']} segments compacted, {engine.counts['copied']} records copied of 60000 put"
+    )
     engine.close()
     loop.close()
 
@@ -129,6 +139,7 @@
             now = loop.clock.now_us()
             late.append(now - due)
             loop.call_at(max(due + 1000, now), tick, max(due + 1000, now))
+
         tick(loop.clock.now_us())
 
         def greedy(work):
@@ -137,6 +148,7 @@
                 if loop.clock.now_us() > end:
                     return loop.soon(greedy, work)
             over.append(1)
+
         if what == "compaction as a task":
             tasks.add("compaction", engine.compact(), priority=7, share=0.1, done=lambda p: over.append(1))
         elif what != "nothing beside it":
@@ -146,8 +158,10 @@
         start = time.perf_counter()
         loop.run_until(lambda: over, 60 * S)
         late.sort()
-        click.echo(f"latency  {what}: p50 {late[len(late) // 2] / 1000:.2f} ms late, p99 {late[int(len(late) * .99)] / 1000:.2f}, "
-                   f"at most {late[-1] / 1000:.1f}; {time.perf_counter() - start:.1f} s, {engine.counts['copied']} copied")
+        click.echo(
+            f"latency  {what}: p50 {late[len(late) // 2] / 1000:.2f} ms late, p99 {late[int(len(late) * 0.99)] / 1000:.2f}, "
+            f"at most {late[-1] / 1000:.1f}; {time.perf_counter() - start:.1f} s, {engine.counts['copied']} copied"
+        )
         engine.close()
         loop.close()
 
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -7,6 +7,7 @@
 The source and the clients are the same programs for all paths; sources and clients are two processes each, so that the
 one process in the middle is what is measured. `--pace` sets the ms between events of one stream; 0 is as fast as it
 goes."""
+
 import json
 import os
 import signal
@@ -41,6 +42,7 @@
 
 # ---- the three programs
 
+
 class Source:
     """A box that costs as little as can be: it answers reads at once and sends one event to each stream every `pace`
     ms. Streams have phases of their own, spread over a pace, and the lengths that their calls ask for."""
@@ -52,8 +54,9 @@
         frame = {"id": "chatcmpl-x", "object": "chat.completion.chunk", "created": 0, "model": "q"}
         self.part = event({**frame, "choices": [{"index": 0, "delta": {"content": "soup "}, "finish_reason": None}]})
         self.last = event({**frame, "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}]}) + DONE
-        self.read = orjson.dumps({"usage": {"prompt_tokens": 9}, "kv_transfer_params": {
-            "do_remote_prefill": True, "remote_engine_id": "x"}})
+        self.read = orjson.dumps(
+            {"usage": {"prompt_tokens": 9}, "kv_transfer_params": {"do_remote_prefill": True, "remote_engine_id": "x"}}
+        )
         self.tick_us, self.at = (1000 if pace_ms else 200), 0
         self.due_us = loop.clock.now_us()
         loop.call_later(self.tick_us, self.step)
@@ -140,8 +143,10 @@
         self.loop, self.pool, self.port = loop, Pool(loop, most=20000, kept=20000, connect_us=5_000_000), port
         self.first = HdrHistogram(1, 60_000_000, 3)
         self.reqs = self.events = self.bad = 0
-        self.bodies = [orjson.dumps({"model": "q", "stream": True, "max_tokens": k, "messages": [
-            {"role": "user", "content": "soup?"}]}) for k in LENGTHS]
+        self.bodies = [
+            orjson.dumps({"model": "q", "stream": True, "max_tokens": k, "messages": [{"role": "user", "content": "soup?"}]})
+            for k in LENGTHS
+        ]
         self.asked = 0
         self.begin = loop.clock.now_us() + 1_500_000  # connections are opened and caches warm before it counts
         self.end = self.begin + round(seconds * 1e6)
@@ -159,8 +164,14 @@
         self.load, self.sent, self.seen = load, load.loop.clock.now_us(), 0
         load.asked += 17  # no common factor with the lengths: neighbours don't end together
         self.length = LENGTHS[load.asked % len(LENGTHS)]
-        load.pool.request(("127.0.0.1", load.port), b"POST", b"/v1/chat/completions",
-                          [(b"content-type", b"application/json")], load.bodies[load.asked % len(LENGTHS)], self)
+        load.pool.request(
+            ("127.0.0.1", load.port),
+            b"POST",
+            b"/v1/chat/completions",
+            [(b"content-type", b"application/json")],
+            load.bodies[load.asked % len(LENGTHS)],
+            self,
+        )
 
     def on_head(self, status, fields):
         self.load.bad += status != 200
@@ -199,14 +210,14 @@
         load = Load(loop, int(args[0]), int(args[1]), float(args[2]))
         loop.call_at(load.end + 200_000, loop.stop)
         loop.run()
-        print(json.dumps({"reqs": load.reqs, "events": load.events, "bad": load.bad,
-                          "first": load.first.encode().decode()}))
+        print(json.dumps({"reqs": load.reqs, "events": load.events, "bad": load.bad, "first": load.first.encode().decode()}))
         return
     loop.run()
 
 
 # ---- the measurement
 
+
 def child(*args, **more):
     return subprocess.Popen([sys.executable, "-m", "benchmarks.streams", "--role", *map(str, args)], **more)
 
@@ -217,12 +228,15 @@
 
 
 def memory_of(pid):
-    return int(next(line for line in Path(f"/proc/{pid}/status").read_text().splitlines()
-                    if line.startswith("VmRSS")).split()[1]) * 1024
+    return (
+        int(next(line for line in Path(f"/proc/{pid}/status").read_text().splitlines() if line.startswith("VmRSS")).split()[1])
+        * 1024
+    )
 
 
 def wait_port(port):
     import socket
+
     for _ in range(200):
         try:
             return socket.create_connection(("127.0.0.1", port), 1).close()
@@ -246,8 +260,11 @@
             middle = child("relay", middle_port, a, b)
         else:
             kinds = ("mx", "mx") if path == "gateway" else ("rd", "wr")
-            (folder / "s.txtpb").write_text(SETTINGS.format(port=middle_port, boxes="".join(
-                f'box {{ id: "127.0.0.1:{p}" kind: "{k}" }}\n' for p, k in zip((a, b), kinds))))
+            (folder / "s.txtpb").write_text(
+                SETTINGS.format(
+                    port=middle_port, boxes="".join(f'box {{ id: "127.0.0.1:{p}" kind: "{k}" }}\n' for p, k in zip((a, b), kinds))
+                )
+            )
             middle = subprocess.Popen([sys.executable, "-m", "lapiswing", "serve", str(folder / "s.txtpb")])
         if middle:
             children.append(middle)
@@ -265,12 +282,20 @@
         for o in out:
             first.decode_and_add(o["first"])
         reqs, events = (sum(o[k] for o in out) / seconds for k in ("reqs", "events"))
-        return {"path": path, "streams": streams, "pace_ms": pace, "reqs_s": round(reqs, 1), "events_s": round(events),
-                "first_p50_ms": first.get_value_at_percentile(50) / 1000,
-                "first_p99_ms": first.get_value_at_percentile(99) / 1000,
-                "cpu": round(cpu / past, 3), "cpu_us_event": round(cpu / past / events * 1e6, 2) if events else None,
-                "cpu_us_req": round(cpu / past / reqs * 1e6) if reqs else None, "bytes_stream": round(memory),
-                "bad": sum(o["bad"] for o in out)}
+        return {
+            "path": path,
+            "streams": streams,
+            "pace_ms": pace,
+            "reqs_s": round(reqs, 1),
+            "events_s": round(events),
+            "first_p50_ms": first.get_value_at_percentile(50) / 1000,
+            "first_p99_ms": first.get_value_at_percentile(99) / 1000,
+            "cpu": round(cpu / past, 3),
+            "cpu_us_event": round(cpu / past / events * 1e6, 2) if events else None,
+            "cpu_us_req": round(cpu / past / reqs * 1e6) if reqs else None,
+            "bytes_stream": round(memory),
+            "bad": sum(o["bad"] for o in out),
+        }
     finally:
         for process in children:
             process.terminate()
--- a/benchmarks/transfer.py
+++ b/benchmarks/transfer.py
@@ -5,6 +5,7 @@
 small    latency of small states while a big one runs over the same link, in order and first come first served
 resume   time to finish a move that broke at 90%, resumed and started over
 many     memory of the receiver with 200 moves at once, against its bound"""
+
 import atexit
 import os
 import shutil
@@ -75,8 +76,7 @@
 
 
 def child(*args):
-    process = subprocess.Popen([sys.executable, "-m", "benchmarks.transfer", "--role", *map(str, args)],
-                               stdout=subprocess.PIPE)
+    process = subprocess.Popen([sys.executable, "-m", "benchmarks.transfer", "--role", *map(str, args)], stdout=subprocess.PIPE)
     atexit.register(process.kill)
     return process, int(process.stdout.readline())
 
@@ -100,7 +100,7 @@
         sock = socket.create_connection(("127.0.0.1", port))
         view, at, start = memoryview(target), 0, time.perf_counter()
         while at < size:
-            at += sock.recv_into(view[at:at + (1 << 20)])
+            at += sock.recv_into(view[at : at + (1 << 20)])
         best = min(best, time.perf_counter() - start)
         sock.close()
     process.kill()
@@ -108,14 +108,22 @@
     tell(part="rate", what="bare sendfile and recv_into", gb_s=round(bare_rate / 1e9, 2))
     real, folder = machine.Receiver.came, tempfile.mkdtemp()
     keys_in(folder)
-    for what, args in (("with checksums", ()), ("without", ()), ("from a file, by sendfile", ("file",)),
-                       ("from a file, over TLS", ("file", folder))):
+    for what, args in (
+        ("with checksums", ()),
+        ("without", ()),
+        ("from a file, by sendfile", ("file",)),
+        ("from a file, over TLS", ("file", folder)),
+    ):
         process, port = child("serve", size, 0, *args)
         loop, best = Loop(Clock()), 9e9
         agent = Agent(loop, "r", [b"k"], 8 * GB, tls=tls_of(folder, "r") if "TLS" in what else None)
         if what == "without":
-            machine.Receiver.came = lambda self, i, n: (self.out.pop(i), self.have.__setitem__(i, 1), setattr(
-                self, "missing", self.missing - 1), "whole" if not self.missing else "good")[-1]
+            machine.Receiver.came = lambda self, i, n: (
+                self.out.pop(i),
+                self.have.__setitem__(i, 1),
+                setattr(self, "missing", self.missing - 1),
+                "whole" if not self.missing else "good",
+            )[-1]
         cpu = cpu_of(process.pid) + sum(os.times()[:2])
         for _ in range(5):
             start = time.perf_counter()
@@ -124,8 +132,13 @@
             assert f.why is None, f.why
             f.free()
         cpu = cpu_of(process.pid) + sum(os.times()[:2]) - cpu
-        tell(part="rate", what=what, gb_s=round(size / best / 1e9, 2), of_bare=round(size / best / bare_rate, 2),
-             cpu_s_gb=round(cpu / 5 / (size / 1e9), 3))
+        tell(
+            part="rate",
+            what=what,
+            gb_s=round(size / best / 1e9, 2),
+            of_bare=round(size / best / bare_rate, 2),
+            cpu_s_gb=round(cpu / 5 / (size / 1e9), 3),
+        )
         agent.close()
         process.kill()
         machine.Receiver.came = real
@@ -155,8 +168,13 @@
             out[0].free()
         times.sort()
         assert times, f"the big one ended too soon: {big[0].why}, {agent.counts}"
-        tell(part="small", order="first come" if plain else "by target", n=len(times),
-             p50_ms=round(times[len(times) // 2] * 1e3, 1), p99_ms=round(times[int(len(times) * .99)] * 1e3, 1))
+        tell(
+            part="small",
+            order="first come" if plain else "by target",
+            n=len(times),
+            p50_ms=round(times[len(times) // 2] * 1e3, 1),
+            p99_ms=round(times[int(len(times) * 0.99)] * 1e3, 1),
+        )
         agent.close()
         relay.close()
         process.kill()
@@ -175,8 +193,12 @@
         loop.run_until(lambda: agent.counts["breaks"], 30 * S)
         relay.cut_after, start = None, time.perf_counter()
         loop.run_until(lambda: out, 30 * S)
-        tell(part="resume", how="started over" if plain else "resumed", why=out[0].why,
-             seconds=round(time.perf_counter() - start, 3))
+        tell(
+            part="resume",
+            how="started over" if plain else "resumed",
+            why=out[0].why,
+            seconds=round(time.perf_counter() - start, 3),
+        )
         agent.close()
         relay.close()
     process.kill()
@@ -196,9 +218,17 @@
         nonlocal most
         most = max(most, memory_of(os.getpid()) - before)
         return len(out) == 200
+
     loop.run_until(look, 30 * S)
-    tell(part="many", moves=200, bound_mb=bound >> 20, held_mb=agent.used >> 20, grown_mb=most >> 20,
-         whole=sum(f.why is None for f in out), no_room=sum(f.why == "no room" for f in out))
+    tell(
+        part="many",
+        moves=200,
+        bound_mb=bound >> 20,
+        held_mb=agent.used >> 20,
+        grown_mb=most >> 20,
+        whole=sum(f.why is None for f in out),
+        no_room=sum(f.why == "no room" for f in out),
+    )
     agent.close()
     process.kill()
 
--- a/lapiswing/admin/client.py
+++ b/lapiswing/admin/client.py
@@ -3,6 +3,7 @@
     ask("/run/gateway.sock", "GET", "/v1/verdict")            -> the answer's JSON
     ask("127.0.0.1:9200", "POST", "/v1/actions", {...}, key)
 Raises AdminError with a text for people."""
+
 import http.client
 import json
 import socket
@@ -13,7 +14,8 @@
     None: "See that a gateway of this version runs there; `admin` in its settings names the address.",
     401: "Give a key that the gateway's settings accept (`--key`, or LAPISWING_ADMIN_KEY).",
     403: "Give a key of `admin.control_key`, or use the control socket.",
-    "refused": "`lapiswing status` shows what the gateway knows; give the act what it names."}
+    "refused": "`lapiswing status` shows what the gateway knows; give the act what it names.",
+}
 
 
 class AdminError(OperatorError):
@@ -43,11 +45,11 @@
 
 def ask(where, method, path, value=None, key=None, timeout=5.0):
     place = place_of(where)
-    connection = (UnixConnection(place, timeout) if isinstance(place, str)
-                  else http.client.HTTPConnection(*place, timeout=timeout))
+    connection = UnixConnection(place, timeout) if isinstance(place, str) else http.client.HTTPConnection(*place, timeout=timeout)
     try:
-        connection.request(method, path, json.dumps(value) if value is not None else None,
-                           {"authorization": f"Bearer {key}"} if key else {})
+        connection.request(
+            method, path, json.dumps(value) if value is not None else None, {"authorization": f"Bearer {key}"} if key else {}
+        )
         answer = connection.getresponse()
         body = json.loads(answer.read())
     except (OSError, http.client.HTTPException, ValueError) as problem:
--- a/lapiswing/admin/diagnosis.py
+++ b/lapiswing/admin/diagnosis.py
@@ -9,6 +9,7 @@
 no news. One cause is told once: what a wider finding explains is counted there as evidence, not told beside it.
 
 The signs are figures of this module's own; nothing that decides about reqs reads them."""
+
 from collections import deque
 from typing import NamedTuple
 
@@ -36,6 +37,7 @@
 
 class Sign(NamedTuple):
     """What one look says."""
+
     kind: str
     subject: str
     level: int
@@ -106,8 +108,16 @@
             old = self.open.get(key)
             if old is None and not sign.at_once and self.seen[key] < OPEN_AFTER:
                 continue
-            found = Finding(sign.kind, sign.subject, sign.level, self.first[key], sign.cause, sign.evidence, sign.do,
-                            sign.kind.replace(" ", "-"))
+            found = Finding(
+                sign.kind,
+                sign.subject,
+                sign.level,
+                self.first[key],
+                sign.cause,
+                sign.evidence,
+                sign.do,
+                sign.kind.replace(" ", "-"),
+            )
             self.open[key] = found
             if old is None:
                 news.append(("begun", found))
@@ -128,10 +138,12 @@
 
     def since(self, *path, looks=WINDOW):
         """A counter's growth over the last looks."""
+
         def get(facts):
             for name in path:
                 facts = facts.get(name) if facts is not None else None
             return facts or 0
+
         return get(self.past[-1]) - get(self.past[-min(looks + 1, len(self.past))])
 
     def span_s(self):
@@ -158,27 +170,56 @@
             lately = {c: self.since("boxes", name, "codes", c, looks=SHORT) for c in box["codes"]}
             kind = self.kind_of(name, box, fails, lately)
             if kind == "unreachable":
-                yield Sign(kind, name, WARNING, "no connection can be made to it",
-                           f"{fails['unreachable']} of {good + bad} forwards in {self.span_s():.0f} s; "
-                           f"{'left out by the decisions' if box['suspect'] else 'still tried'}", DO[kind])
+                yield Sign(
+                    kind,
+                    name,
+                    WARNING,
+                    "no connection can be made to it",
+                    f"{fails['unreachable']} of {good + bad} forwards in {self.span_s():.0f} s; "
+                    f"{'left out by the decisions' if box['suspect'] else 'still tried'}",
+                    DO[kind],
+                )
             elif kind == "fails fast":
-                yield Sign(kind, name, WARNING, "it answers with failures",
-                           f"{fails['error']} errors and {fails['reset']} resets of {good + bad} forwards in "
-                           f"{self.span_s():.0f} s, after {(box['fail_us'] or 0) / MS:.0f} ms each", DO[kind])
+                yield Sign(
+                    kind,
+                    name,
+                    WARNING,
+                    "it answers with failures",
+                    f"{fails['error']} errors and {fails['reset']} resets of {good + bad} forwards in "
+                    f"{self.span_s():.0f} s, after {(box['fail_us'] or 0) / MS:.0f} ms each",
+                    DO[kind],
+                )
             elif kind == "silent":
                 # The decisions take forwards back from a box that is silent, so many of them end as cancelled.
-                yield Sign(kind, name, WARNING, "it takes forwards and answers none",
-                           f"{good} answers in {self.span_s():.0f} s; {fails['timed_out']} timed out, "
-                           f"{codes.get('cancelled', 0)} taken back, {box['out']} out", DO[kind])
+                yield Sign(
+                    kind,
+                    name,
+                    WARNING,
+                    "it takes forwards and answers none",
+                    f"{good} answers in {self.span_s():.0f} s; {fails['timed_out']} timed out, "
+                    f"{codes.get('cancelled', 0)} taken back, {box['out']} out",
+                    DO[kind],
+                )
             others = [v for v in usual.get(box["role"], []) if v != box["first_us"]]
             if others and box["first_us"] and good >= 3 and box["first_us"] > 3 * sorted(others)[len(others) // 2] + 100 * MS:
-                yield Sign("slow", name, NOTICE, "its answers begin late",
-                           f"{box['first_us'] / MS:.0f} ms to a first token, others of its role {sorted(others)[len(others) // 2] / MS:.0f}",
-                           DO["slow"])
+                yield Sign(
+                    "slow",
+                    name,
+                    NOTICE,
+                    "its answers begin late",
+                    f"{box['first_us'] / MS:.0f} ms to a first token, others of its role {sorted(others)[len(others) // 2] / MS:.0f}",
+                    DO["slow"],
+                )
             starts = box["starts"] - min(f["boxes"].get(name, box)["starts"] for f in self.long_past(facts))
             if starts >= 3:
-                yield Sign("restarts", name, WARNING, "it is started again and again",
-                           f"{starts} starts since {self.ago(facts)}", DO["restarts"])
+                yield Sign(
+                    "restarts",
+                    name,
+                    WARNING,
+                    "it is started again and again",
+                    f"{starts} starts since {self.ago(facts)}",
+                    DO["restarts"],
+                )
 
     def kind_of(self, name, box, fails, lately):
         """How a box fails, or None. At a small site a box gets a req in some seconds, so counts alone would take a minute:
@@ -189,8 +230,13 @@
             return None
         if sum(fails.values()):
             fast = fails["error"] + fails["reset"]
-            self.kinds[name] = ("unreachable" if fails["unreachable"] >= max(1, fast) else
-                                "fails fast" if fast >= fails["timed_out"] else "silent")
+            self.kinds[name] = (
+                "unreachable"
+                if fails["unreachable"] >= max(1, fast)
+                else "fails fast"
+                if fast >= fails["timed_out"]
+                else "silent"
+            )
         return self.kinds.setdefault(name, "silent")
 
     older = ()
@@ -220,16 +266,35 @@
                 cause = f"the only {word} drains" if len(have) == 1 else f"all {len(have)} {word}s drain"
                 yield Sign("no box", word, SERIOUS, cause, who, DO["no box"], True)
             elif not well:
-                yield Sign("no box", word, SERIOUS, f"no {word} works: all that are listed are suspect",
-                           ", ".join(ready[:3]), DO["no box"])
+                yield Sign(
+                    "no box",
+                    word,
+                    SERIOUS,
+                    f"no {word} works: all that are listed are suspect",
+                    ", ".join(ready[:3]),
+                    DO["no box"],
+                )
             elif len(well) == 1 and len(have) > 1:
                 rest = [n for n in have if n not in well]
-                yield Sign("last box", word, WARNING, f"one of {len(have)} {word}s works", f"left: {well[0]}; "
-                           + (who or ", ".join(f"{n} is suspect" for n in rest[:3])), DO["last box"])
+                yield Sign(
+                    "last box",
+                    word,
+                    WARNING,
+                    f"one of {len(have)} {word}s works",
+                    f"left: {well[0]}; " + (who or ", ".join(f"{n} is suspect" for n in rest[:3])),
+                    DO["last box"],
+                )
             cold = [n for n in ready if have[n]["cold"]]
             if len(ready) > 1 and len(cold) * 2 > len(ready):
-                yield Sign("cold", word, NOTICE, f"{len(cold)} of {len(ready)} {word}s have just started",
-                           ", ".join(cold[:3]), DO["cold"], True)
+                yield Sign(
+                    "cold",
+                    word,
+                    NOTICE,
+                    f"{len(cold)} of {len(ready)} {word}s have just started",
+                    ", ".join(cold[:3]),
+                    DO["cold"],
+                    True,
+                )
 
     def of_load(self, facts):
         pushed, taken = self.since("counts", "pushed back"), self.since("counts", "taken")
@@ -238,45 +303,93 @@
             reads, writes = facts["read_wait_us"], facts["write_wait_us"]
             readers = [b for b in facts["boxes"].values() if b["role"] != "write" and b["mode"] == "ready"]
             full = [b["memory"] for b in readers if b["memory"] is not None]
-            evidence = (f"{pushed} of {taken} reqs pushed back in {self.span_s():.0f} s; reads take {reads / MS:.0f} ms, "
-                        f"waits for a writer {writes / MS:.0f} ms")
+            evidence = (
+                f"{pushed} of {taken} reqs pushed back in {self.span_s():.0f} s; reads take {reads / MS:.0f} ms, "
+                f"waits for a writer {writes / MS:.0f} ms"
+            )
             if full and sum(full) / len(full) > 0.85:
-                yield Sign("reader memory", "", WARNING, "readers are full of states that wait for their writers",
-                           f"{evidence}; memory {100 * sum(full) / len(full):.0f} % full", DO["reader memory"])
+                yield Sign(
+                    "reader memory",
+                    "",
+                    WARNING,
+                    "readers are full of states that wait for their writers",
+                    f"{evidence}; memory {100 * sum(full) / len(full):.0f} % full",
+                    DO["reader memory"],
+                )
             elif reads >= writes:
                 yield Sign("readers full", "", WARNING, "reading can't keep up", evidence, DO["readers full"])
             else:
                 yield Sign("writers full", "", WARNING, "writing can't keep up", evidence, DO["writers full"])
-        by = {name: self.since("tenants", name, "taken") + self.since("tenants", name, "capped")
-              for name in facts["tenants"]}
+        by = {name: self.since("tenants", name, "taken") + self.since("tenants", name, "capped") for name in facts["tenants"]}
         total = sum(by.values())
         most = max(by, key=by.get, default=None)
-        if most is not None and len([n for n in by if by[n]]) > 1 and total >= 30 and by[most] > 0.7 * total and pushed + \
-                self.since("counts", "capped") >= 3:
-            yield Sign("tenant", most, WARNING, "one tenant takes nearly all, while reqs are pushed back",
-                       f"{by[most]} of {total} reqs in {self.span_s():.0f} s", DO["tenant"])
+        if (
+            most is not None
+            and len([n for n in by if by[n]]) > 1
+            and total >= 30
+            and by[most] > 0.7 * total
+            and pushed + self.since("counts", "capped") >= 3
+        ):
+            yield Sign(
+                "tenant",
+                most,
+                WARNING,
+                "one tenant takes nearly all, while reqs are pushed back",
+                f"{by[most]} of {total} reqs in {self.span_s():.0f} s",
+                DO["tenant"],
+            )
         limit = facts["hold_limit_us"]
         if facts["oldest_hold_us"] > 0.5 * limit:
-            yield Sign("holds", "", WARNING, "a state is held unused for long",
-                       f"{facts['oldest_hold_us'] / MS:.0f} ms of {limit / MS:.0f}; {facts['holds']} held", DO["holds"])
+            yield Sign(
+                "holds",
+                "",
+                WARNING,
+                "a state is held unused for long",
+                f"{facts['oldest_hold_us'] / MS:.0f} ms of {limit / MS:.0f}; {facts['holds']} held",
+                DO["holds"],
+            )
         if facts["open"] > 0.9 * facts["open_limit"]:
-            yield Sign("open reqs", "", WARNING, "nearly as many reqs are open as are allowed",
-                       f"{facts['open']} of {facts['open_limit']}", DO["open reqs"])
+            yield Sign(
+                "open reqs",
+                "",
+                WARNING,
+                "nearly as many reqs are open as are allowed",
+                f"{facts['open']} of {facts['open_limit']}",
+                DO["open reqs"],
+            )
         lags = [f["lag_us"] for f in self.past]
         if len(lags) >= 3 and sorted(lags)[len(lags) // 2] > 50 * MS:
-            yield Sign("overloaded", "", WARNING, "this gateway is late for its own sockets",
-                       f"turns of {sorted(lags)[len(lags) // 2] / MS:.0f} ms", DO["overloaded"])
+            yield Sign(
+                "overloaded",
+                "",
+                WARNING,
+                "this gateway is late for its own sockets",
+                f"turns of {sorted(lags)[len(lags) // 2] / MS:.0f} ms",
+                DO["overloaded"],
+            )
         if self.since("counts", "faults") or self.since("counts", "backstop"):
-            yield Sign("fault", "", SERIOUS, "the decisions left reqs unanswered, or raised an exception",
-                       f"{facts['counts'].get('faults', 0)} faults, {facts['counts'].get('backstop', 0)} backstops since the start",
-                       DO["fault"], True)
+            yield Sign(
+                "fault",
+                "",
+                SERIOUS,
+                "the decisions left reqs unanswered, or raised an exception",
+                f"{facts['counts'].get('faults', 0)} faults, {facts['counts'].get('backstop', 0)} backstops since the start",
+                DO["fault"],
+                True,
+            )
         if facts["draining"]:
             yield Sign("draining", "", NOTICE, "this gateway drains", f"{facts['open']} reqs open", DO["draining"], True)
 
     def of_place(self, facts):
         if facts["list_fault"]:
-            yield Sign("list stale", "", WARNING, "the boxes file can't be read; the last good list stands",
-                       facts["list_fault"][:200], DO["list stale"])
+            yield Sign(
+                "list stale",
+                "",
+                WARNING,
+                "the boxes file can't be read; the last good list stands",
+                facts["list_fault"][:200],
+                DO["list stale"],
+            )
         if len(self.past) > 1:
             jump = max((abs(b["wall_us"] - a["wall_us"]) for a, b in zip(self.past, list(self.past)[1:])))
             if jump > S:
@@ -284,24 +397,54 @@
         starts = [ms for ms in facts["starts_unix_ms"] if facts["unix_ms"] - ms < 600_000]
         if len(starts) >= 2:
             often = len(starts) >= 4
-            yield Sign("gateway restarts", "", WARNING if often else NOTICE,
-                       "this gateway is started again and again" if often else "this gateway was started again",
-                       f"{len(starts) - 1} times in the last 10 minutes, last because it {facts['last_end'] or 'was gone'}",
-                       DO["gateway restarts"], True)
+            yield Sign(
+                "gateway restarts",
+                "",
+                WARNING if often else NOTICE,
+                "this gateway is started again and again" if often else "this gateway was started again",
+                f"{len(starts) - 1} times in the last 10 minutes, last because it {facts['last_end'] or 'was gone'}",
+                DO["gateway restarts"],
+                True,
+            )
         for source in facts["doubts"]:
-            yield Sign("records doubted", source, WARNING, "a source lost most of its boxes at once, and is not believed for now",
-                       "what it named before stands", DO["records doubted"], True)
+            yield Sign(
+                "records doubted",
+                source,
+                WARNING,
+                "a source lost most of its boxes at once, and is not believed for now",
+                "what it named before stands",
+                DO["records doubted"],
+                True,
+            )
         for source, state, problem in facts["records"]:
             if state != "good":
-                yield Sign("records silent", source, WARNING, "no name server answers" + (
-                    "; what was last known stands" if state == "stale" else ""), problem or "", DO["records silent"])
+                yield Sign(
+                    "records silent",
+                    source,
+                    WARNING,
+                    "no name server answers" + ("; what was last known stands" if state == "stale" else ""),
+                    problem or "",
+                    DO["records silent"],
+                )
         if facts["store"] and facts["store"][0] != "good":
-            yield Sign("store", "", SERIOUS, "what must outlive a restart can't be written: calls with a key are pushed back",
-                       f"{facts['store'][0]}: {facts['store'][1]}", DO["store"])
+            yield Sign(
+                "store",
+                "",
+                SERIOUS,
+                "what must outlive a restart can't be written: calls with a key are pushed back",
+                f"{facts['store'][0]}: {facts['store'][1]}",
+                DO["store"],
+            )
         for name, free in facts["disks"].items():
             if free < 0.05:
-                yield Sign("disk", name, SERIOUS if free < 0.01 else WARNING, "the disk is nearly full",
-                           f"{100 * free:.1f} % free", DO["disk"])
+                yield Sign(
+                    "disk",
+                    name,
+                    SERIOUS if free < 0.01 else WARNING,
+                    "the disk is nearly full",
+                    f"{100 * free:.1f} % free",
+                    DO["disk"],
+                )
 
 
 def quiet(signs, facts):
@@ -310,8 +453,14 @@
     ready = [b for b in facts["boxes"].values() if b["mode"] == "ready"]
     if len(failing) >= 3 and len(failing) * 2 > len(ready):
         names = {s.subject for s in failing}
-        yield Sign("answers lost", "", SERIOUS, "more than half of the boxes look bad at once: look for one cause",
-                   f"{len(failing)} of {len(ready)}: " + ", ".join(sorted(names)[:4]), DO["answers lost"])
+        yield Sign(
+            "answers lost",
+            "",
+            SERIOUS,
+            "more than half of the boxes look bad at once: look for one cause",
+            f"{len(failing)} of {len(ready)}: " + ", ".join(sorted(names)[:4]),
+            DO["answers lost"],
+        )
         signs = [s for s in signs if s not in failing]
     without = {s.subject for s in signs if s.kind == "no box"}
     for s in signs:
--- a/lapiswing/admin/facts.py
+++ b/lapiswing/admin/facts.py
@@ -1,5 +1,6 @@
 """Reads a gateway's own counters: facts for the diagnosis, rows for those who look. What is long (reqs) is read in slices,
 as generators; who runs them decides how much at a time."""
+
 import os
 import time
 
@@ -30,15 +31,29 @@
             tally, machine = core.tally.box(name), machines.get(name)
             report = tally.report
             out[name] = {
-                "role": self.role(row.kind), "mode": row.mode, "why": core.membership.why(name), "words": words.get(name),
+                "role": self.role(row.kind),
+                "mode": row.mode,
+                "why": core.membership.why(name),
+                "words": words.get(name),
                 "zone": row.zone,
-                "cell": row.cell, "kind": core.settings.kind[row.kind].name, "out": tally.out, "codes": dict(tally.codes),
-                "last": tally.last, "first_us": tally.first_us, "read_us": tally.read_us, "fail_us": tally.fail_us,
-                "starts": tally.starts, "cold": bool(row.started_us) and now - row.started_us < ramp,
+                "cell": row.cell,
+                "kind": core.settings.kind[row.kind].name,
+                "out": tally.out,
+                "codes": dict(tally.codes),
+                "last": tally.last,
+                "first_us": tally.first_us,
+                "read_us": tally.read_us,
+                "fail_us": tally.fail_us,
+                "starts": tally.starts,
+                "cold": bool(row.started_us) and now - row.started_us < ramp,
                 "up_ms": (now - row.started_us) // MS if row.started_us else None,
-                "suspect": bool(getattr(machine, "suspect", False)), "bad": round(float(getattr(machine, "bad", 0.0)), 3),
-                "kept_texts": len(getattr(machine, "kept", ())), "memory": report.get("x0"), "queue": report.get("queue"),
-                "inflight": report.get("inflight")}
+                "suspect": bool(getattr(machine, "suspect", False)),
+                "bad": round(float(getattr(machine, "bad", 0.0)), 3),
+                "kept_texts": len(getattr(machine, "kept", ())),
+                "memory": report.get("x0"),
+                "queue": report.get("queue"),
+                "inflight": report.get("inflight"),
+            }
         return out
 
     def shares(self):
@@ -62,7 +77,7 @@
         reqs = list(self.core.reqs.values())
         for at in range(0, len(reqs), ROWS * 8):
             now = self.core.loop.clock.now_us()
-            for req in reqs[at:at + ROWS * 8]:
+            for req in reqs[at : at + ROWS * 8]:
                 if req.held_us is not None and req.state is not None and not req.outs:
                     count += 1
                     oldest = max(oldest, now - req.held_us)
@@ -82,17 +97,33 @@
         lag, self.lag_us = self.lag_us, 0
         router = core.router
         return {
-            "now_us": core.loop.clock.now_us(), "wall_us": time.time_ns() // 1000 - core.loop.clock.now_us(),
-            "boxes": self.boxes(), "counts": dict(core.counts), "tenants": self.tenants(), "open": core.open,
-            "open_limit": core.limits.open_reqs, "holds": self.hold[0], "oldest_hold_us": self.hold[1],
-            "hold_limit_us": gateway.settings.rules.let_go_ms * MS, "draining": core.draining, "lag_us": lag,
-            "read_wait_us": float(getattr(router, "read_mean", 0)), "write_wait_us": float(getattr(router, "wait_mean", 0)),
-            "first_p50_ms": core.tally.first.at(0.5), "first_p99_ms": core.tally.first.at(0.99),
-            "starts_unix_ms": self.starts, "unix_ms": time.time_ns() // 1_000_000, "last_end": self.last_end,
-            "doubts": core.membership.doubts(), "records": [] if gateway.discovery is None else [
-                (s, gateway.discovery.states.get(s, "none"), b.problem) for s, b in gateway.discovery.browsers.items()],
+            "now_us": core.loop.clock.now_us(),
+            "wall_us": time.time_ns() // 1000 - core.loop.clock.now_us(),
+            "boxes": self.boxes(),
+            "counts": dict(core.counts),
+            "tenants": self.tenants(),
+            "open": core.open,
+            "open_limit": core.limits.open_reqs,
+            "holds": self.hold[0],
+            "oldest_hold_us": self.hold[1],
+            "hold_limit_us": gateway.settings.rules.let_go_ms * MS,
+            "draining": core.draining,
+            "lag_us": lag,
+            "read_wait_us": float(getattr(router, "read_mean", 0)),
+            "write_wait_us": float(getattr(router, "wait_mean", 0)),
+            "first_p50_ms": core.tally.first.at(0.5),
+            "first_p99_ms": core.tally.first.at(0.99),
+            "starts_unix_ms": self.starts,
+            "unix_ms": time.time_ns() // 1_000_000,
+            "last_end": self.last_end,
+            "doubts": core.membership.doubts(),
+            "records": []
+            if gateway.discovery is None
+            else [(s, gateway.discovery.states.get(s, "none"), b.problem) for s, b in gateway.discovery.browsers.items()],
             "store": None if gateway.store is None else (gateway.store.mode, gateway.store.why),
-            "list_fault": gateway.list_fault, "disks": disks}
+            "list_fault": gateway.list_fault,
+            "disks": disks,
+        }
 
     def note_turn(self):
         """Called once a turn: how long it was, the wait in select left out."""
@@ -104,14 +135,23 @@
 def row_of(core, req, now):
     """One req, as staff see it. Only numbers and names; nothing that a client wrote."""
     outs = [{"stage": out.stage, "box": out.server, "ms": (now - out.sent_us) // MS} for out in req.outs.values()]
-    stage = ("stream" if req.begun is not None else outs[0]["stage"] if outs else "held" if req.state else "waits")
-    return {"req": req.number, "group": core.facts[req.spec.group].name, "tenant": tenant_name(core, req.spec.tenant),
-            "stage": stage, "box": outs[0]["box"] if outs else req.state[0] if req.state else None,
-            "age_ms": (now - req.taken_us) // MS,
-            "left_ms": None if req.begun is not None else (req.expires_us - now) // MS,
-            "held_ms": (now - req.held_us) // MS if req.held_us is not None and req.state is not None else None,
-            "prompt": req.spec.tokens, "tokens": req.answer.assembler.tokens, "forwards": req.sends,
-            "resumes": req.resumes, "outs": outs, "trail": req.trail[-8:]}
+    stage = "stream" if req.begun is not None else outs[0]["stage"] if outs else "held" if req.state else "waits"
+    return {
+        "req": req.number,
+        "group": core.facts[req.spec.group].name,
+        "tenant": tenant_name(core, req.spec.tenant),
+        "stage": stage,
+        "box": outs[0]["box"] if outs else req.state[0] if req.state else None,
+        "age_ms": (now - req.taken_us) // MS,
+        "left_ms": None if req.begun is not None else (req.expires_us - now) // MS,
+        "held_ms": (now - req.held_us) // MS if req.held_us is not None and req.state is not None else None,
+        "prompt": req.spec.tokens,
+        "tokens": req.answer.assembler.tokens,
+        "forwards": req.sends,
+        "resumes": req.resumes,
+        "outs": outs,
+        "trail": req.trail[-8:],
+    }
 
 
 def tenant_name(core, number):
--- a/lapiswing/admin/feed.py
+++ b/lapiswing/admin/feed.py
@@ -2,6 +2,7 @@
 
 A reader names the last number that it has seen and gets what came after. What is no longer kept is told as one `lost` line with
 its span; the reader takes a snapshot then, and goes on from the snapshot's number. So a reader that stops costs nothing."""
+
 from collections import deque
 
 import orjson
@@ -33,7 +34,7 @@
         if seq + 1 < first:
             out.append(orjson.dumps({"type": "lost", "from": seq + 1, "to": first - 1}) + b"\n")
             seq = first - 1
-        for number, line in list(self.lines)[max(0, seq + 1 - first):]:
+        for number, line in list(self.lines)[max(0, seq + 1 - first) :]:
             if size and size + len(line) > most_bytes:
                 break
             out.append(line)
--- a/lapiswing/admin/serve.py
+++ b/lapiswing/admin/serve.py
@@ -4,6 +4,7 @@
 the same time; a reader that does not read is given no more than its small buffer, and finds out from the feed's numbers what it
 missed. Reading is one right; acting on the gateway another, with a socket or a key of its own, and each act is written to the
 audit log before it is done."""
+
 import hmac
 import os
 import socket
@@ -90,8 +91,11 @@
         self.look()
 
     def serve(self, sock, right):
-        server = Server(self.loop, lambda exchange: self.app(exchange, right), Limits(body_bytes=65536, idle_us=120_000_000,
-                                                                                     stall_us=30_000_000))
+        server = Server(
+            self.loop,
+            lambda exchange: self.app(exchange, right),
+            Limits(body_bytes=65536, idle_us=120_000_000, stall_us=30_000_000),
+        )
         listener = Listener(self.loop, sock, server.accept, 128, high=READER_BYTES, low=READER_BYTES // 4)
         server.listener = listener
         self.listeners.append(listener)
@@ -117,10 +121,19 @@
         for what, found in self.diagnosis.look(facts):
             self.changed("finding", what=what, **finding_row(found, self.unix_ms))
             (self.log.warning if what == "begun" else self.log.info)(
-                "finding", what=what, kind=found.kind, subject=found.subject or None, cause=found.cause, evidence=found.evidence)
-        self.feed.put(self.unix_ms(), "tick", counts=facts["counts"], open=facts["open"], holds=facts["holds"],
-                      oldest_hold_ms=facts["oldest_hold_us"] // MS, first_p50_ms=facts["first_p50_ms"],
-                      first_p99_ms=facts["first_p99_ms"], lag_us=facts["lag_us"])
+                "finding", what=what, kind=found.kind, subject=found.subject or None, cause=found.cause, evidence=found.evidence
+            )
+        self.feed.put(
+            self.unix_ms(),
+            "tick",
+            counts=facts["counts"],
+            open=facts["open"],
+            holds=facts["holds"],
+            oldest_hold_ms=facts["oldest_hold_us"] // MS,
+            first_p50_ms=facts["first_p50_ms"],
+            first_p99_ms=facts["first_p99_ms"],
+            lag_us=facts["lag_us"],
+        )
 
     def scanned(self, _problem):
         self.scanning = False
@@ -169,13 +182,25 @@
         facts = self.last
         level, text = verdict([f for f in self.diagnosis.findings if f.key() not in self.diagnosis.acknowledged], facts)
         g = self.gateway
-        return {"v": VERSION, "seq": self.feed.seq, "unix_ms": self.unix_ms(),
-                "gateway": {"name": g.settings.gateway.name, "index": g.settings.gateway.index, "version": __version__,
-                            "pid": os.getpid(), "up_ms": (self.loop.clock.now_us() - self.started_us) // MS,
-                            "port": g.port, "draining": self.core.draining},
-                "verdict": {"level": level, "text": text},
-                "findings": [finding_row(f, self.unix_ms) | {"acknowledged": f.key() in self.diagnosis.acknowledged}
-                             for f in self.diagnosis.findings]}
+        return {
+            "v": VERSION,
+            "seq": self.feed.seq,
+            "unix_ms": self.unix_ms(),
+            "gateway": {
+                "name": g.settings.gateway.name,
+                "index": g.settings.gateway.index,
+                "version": __version__,
+                "pid": os.getpid(),
+                "up_ms": (self.loop.clock.now_us() - self.started_us) // MS,
+                "port": g.port,
+                "draining": self.core.draining,
+            },
+            "verdict": {"level": level, "text": text},
+            "findings": [
+                finding_row(f, self.unix_ms) | {"acknowledged": f.key() in self.diagnosis.acknowledged}
+                for f in self.diagnosis.findings
+            ],
+        }
 
     def snapshot(self, exchange, parts):
         wanted = frozenset(parts.split(",")) if parts != "all" else PARTS
@@ -204,30 +229,65 @@
             out.append(b',"boxes":' + orjson.dumps([{"box": n, **row, **shares.get(n, {})} for n, row in boxes.items()]))
         if "counts" in wanted:
             last = self.last
-            out.append(b',"counts":' + orjson.dumps(core.counts) + b',"now":' + orjson.dumps({
-                "open": core.open, "open_limit": last["open_limit"], "holds": self.facts.hold[0],
-                "oldest_hold_ms": self.facts.hold[1] // MS, "hold_limit_ms": last["hold_limit_us"] // MS,
-                "first_p50_ms": core.tally.first.at(0.5), "first_p99_ms": core.tally.first.at(0.99), "lag_us": last["lag_us"],
-                "read_wait_ms": round(last["read_wait_us"] / MS, 1), "write_wait_ms": round(last["write_wait_us"] / MS, 1),
-                "first_bins": core.tally.first.bins}))
+            out.append(
+                b',"counts":'
+                + orjson.dumps(core.counts)
+                + b',"now":'
+                + orjson.dumps(
+                    {
+                        "open": core.open,
+                        "open_limit": last["open_limit"],
+                        "holds": self.facts.hold[0],
+                        "oldest_hold_ms": self.facts.hold[1] // MS,
+                        "hold_limit_ms": last["hold_limit_us"] // MS,
+                        "first_p50_ms": core.tally.first.at(0.5),
+                        "first_p99_ms": core.tally.first.at(0.99),
+                        "lag_us": last["lag_us"],
+                        "read_wait_ms": round(last["read_wait_us"] / MS, 1),
+                        "write_wait_ms": round(last["write_wait_us"] / MS, 1),
+                        "first_bins": core.tally.first.bins,
+                    }
+                )
+            )
         if "tenants" in wanted:
             now = self.loop.clock.now_us()
-            caps = {tenant_name(core, t): {"rps": c.rps, "left_ms": max(0, c.until_us - now) // MS}
-                    for t, c in core.caps.caps.items()}
+            caps = {
+                tenant_name(core, t): {"rps": c.rps, "left_ms": max(0, c.until_us - now) // MS} for t, c in core.caps.caps.items()
+            }
             quotas = {t.name: t.quota_rps or None for t in core.settings.tenant}
-            rows = [{"tenant": n, "quota_rps": quotas.get(n), "cap": caps.pop(n, None), **row}
-                    for n, row in self.facts.tenants().items()]
+            rows = [
+                {"tenant": n, "quota_rps": quotas.get(n), "cap": caps.pop(n, None), **row}
+                for n, row in self.facts.tenants().items()
+            ]
             rows += [{"tenant": n, "quota_rps": quotas.get(n), "cap": cap} for n, cap in caps.items()]
             out.append(b',"tenants":' + orjson.dumps(rows))
         if "sessions" in wanted:
             out.append(b',"sessions":' + orjson.dumps(self.sessions()))
         if "store" in wanted:
             store = self.gateway.store
-            out.append(b',"store":' + orjson.dumps(None if store is None else {
-                "mode": store.mode, "why": store.why, "segments": len(store.segments), "bytes": sum(store.sizes.values()),
-                "live_bytes": store.index.bytes, "keys": len(store.index.keys), **store.counts, **core.memory.counts}))
-            out.append(b',"tasks":' + orjson.dumps({"running": self.gateway.tasks.rows(), "finished": self.gateway.tasks.finished,
-                                                    **self.gateway.tasks.counts}))
+            out.append(
+                b',"store":'
+                + orjson.dumps(
+                    None
+                    if store is None
+                    else {
+                        "mode": store.mode,
+                        "why": store.why,
+                        "segments": len(store.segments),
+                        "bytes": sum(store.sizes.values()),
+                        "live_bytes": store.index.bytes,
+                        "keys": len(store.index.keys),
+                        **store.counts,
+                        **core.memory.counts,
+                    }
+                )
+            )
+            out.append(
+                b',"tasks":'
+                + orjson.dumps(
+                    {"running": self.gateway.tasks.rows(), "finished": self.gateway.tasks.finished, **self.gateway.tasks.counts}
+                )
+            )
         if "fleet" in wanted:
             out.append(b',"fleet":' + orjson.dumps(None if self.gateway.fleet is None else self.gateway.fleet.facts()))
         if "records" in wanted:
@@ -239,7 +299,7 @@
             reqs, first = list(core.reqs.values()), True
             for at in range(0, len(reqs), ROWS):
                 now = self.loop.clock.now_us()
-                rows = [row_of(core, r, now) for r in reqs[at:at + ROWS] if not r.over]
+                rows = [row_of(core, r, now) for r in reqs[at : at + ROWS] if not r.over]
                 if rows:
                     out.append((b"" if first else b",") + orjson.dumps(rows)[1:-1])
                     first = False
@@ -255,8 +315,12 @@
     def sessions(self):
         front = self.gateway.sessions
         book = front.book
-        return {"open": len(book.sessions), "connected": len(front.connections),
-                "away": sum(s.away_us is not None for s in book.sessions.values()), "bytes": book.bytes}
+        return {
+            "open": len(book.sessions),
+            "connected": len(front.connections),
+            "away": sum(s.away_us is not None for s in book.sessions.values()),
+            "bytes": book.bytes,
+        }
 
     def one_req(self, exchange, text):
         if not text.isdigit():
@@ -329,6 +393,7 @@
             text = do() + (f"; but it can't be put down ({why}) and ends with a restart" if why else "")
             self.changed("action", act=act, what=what, who=who, text=text)
             exchange.json(200, {"v": VERSION, "done": text})
+
         self.put_down(act, ask, what, done)
 
     def put_down(self, act, ask, what, done):
@@ -375,6 +440,7 @@
         def do():
             core.tell_members(core.membership.order(what, draining))
             return f"{what} {'drains' if draining else 'is taken back'}"
+
         return do
 
     def act_cap(self, ask, what):
@@ -386,6 +452,7 @@
         def do():
             self.core.caps.put(self.loop.clock.now_us(), tenant, rps, round(minutes * 60e6))
             return f"{what} may send {rps:g} reqs a second for {minutes:g} minutes"
+
         return do
 
     def act_uncap(self, ask, what):
@@ -413,6 +480,7 @@
         def do():
             self.loop.call_later(50 * MS, self.gateway.drain)  # this answer goes out first
             return "the gateway drains"
+
         return do
 
     # ---- metrics
@@ -420,24 +488,52 @@
     def measures(self):
         core, facts = self.core, self.last
         yield from counts_of("lapiswing_reqs", core.counts, "What became of reqs since the start")
-        yield "lapiswing_open", "gauge", "Reqs open, and states held without a forward", [
-            ({"what": "reqs"}, core.open), ({"what": "holds"}, facts["holds"])]
+        yield (
+            "lapiswing_open",
+            "gauge",
+            "Reqs open, and states held without a forward",
+            [({"what": "reqs"}, core.open), ({"what": "holds"}, facts["holds"])],
+        )
         yield "lapiswing_oldest_hold_seconds", "gauge", "Age of the oldest hold", [({}, facts["oldest_hold_us"] / 1e6)]
         yield "lapiswing_turn_seconds", "gauge", "Longest turn of the loop in the last second", [({}, facts["lag_us"] / 1e6)]
         first = core.tally.first
-        yield "lapiswing_first_token_seconds", "gauge", "Time to a first token, lately", [
-            ({"quantile": q}, (first.at(q) or 0) / 1000) for q in (0.5, 0.9, 0.99)]
+        yield (
+            "lapiswing_first_token_seconds",
+            "gauge",
+            "Time to a first token, lately",
+            [({"quantile": q}, (first.at(q) or 0) / 1000) for q in (0.5, 0.9, 0.99)],
+        )
         boxes = self.facts.boxes()
-        yield "lapiswing_box_forwards", "counter", "Forwards by what came of them", [
-            ({"box": n, "code": c}, v) for n, row in boxes.items() for c, v in row["codes"].items()]
-        yield "lapiswing_box_up", "gauge", "1: ready and not suspect", [
-            ({"box": n, "role": row["role"]}, float(row["mode"] == "ready" and not row["suspect"])) for n, row in boxes.items()]
+        yield (
+            "lapiswing_box_forwards",
+            "counter",
+            "Forwards by what came of them",
+            [({"box": n, "code": c}, v) for n, row in boxes.items() for c, v in row["codes"].items()],
+        )
+        yield (
+            "lapiswing_box_up",
+            "gauge",
+            "1: ready and not suspect",
+            [({"box": n, "role": row["role"]}, float(row["mode"] == "ready" and not row["suspect"])) for n, row in boxes.items()],
+        )
         yield "lapiswing_box_out", "gauge", "Forwards out", [({"box": n}, row["out"]) for n, row in boxes.items()]
-        yield "lapiswing_tenant_reqs", "counter", "Reqs of a tenant", [
-            ({"tenant": n, "end": what}, v) for n, row in self.facts.tenants().items()
-            for what, v in row.items() if what not in ("open", "tokens")]
-        yield "lapiswing_findings", "gauge", "Findings open", [
-            ({"level": str(level)}, sum(f.level == level for f in self.diagnosis.findings)) for level in (1, 2, 3)]
+        yield (
+            "lapiswing_tenant_reqs",
+            "counter",
+            "Reqs of a tenant",
+            [
+                ({"tenant": n, "end": what}, v)
+                for n, row in self.facts.tenants().items()
+                for what, v in row.items()
+                if what not in ("open", "tokens")
+            ],
+        )
+        yield (
+            "lapiswing_findings",
+            "gauge",
+            "Findings open",
+            [({"level": str(level)}, sum(f.level == level for f in self.diagnosis.findings)) for level in (1, 2, 3)],
+        )
 
     def close(self):
         self.closed = True
@@ -456,10 +552,15 @@
             self.audit.close()
 
 
-PARTS = frozenset(("boxes", "counts", "tenants", "sessions", "store", "records", "modes", "reqs",
-                   "fleet"))
-ACTS = {"drain": Admin.act_drain, "take-back": Admin.act_take_back, "cap": Admin.act_cap, "uncap": Admin.act_uncap,
-        "acknowledge": Admin.act_acknowledge, "drain-gateway": Admin.act_drain_gateway}
+PARTS = frozenset(("boxes", "counts", "tenants", "sessions", "store", "records", "modes", "reqs", "fleet"))
+ACTS = {
+    "drain": Admin.act_drain,
+    "take-back": Admin.act_take_back,
+    "cap": Admin.act_cap,
+    "uncap": Admin.act_uncap,
+    "acknowledge": Admin.act_acknowledge,
+    "drain-gateway": Admin.act_drain_gateway,
+}
 
 
 class Impossible(Exception):
@@ -491,5 +592,13 @@
 
 
 def finding_row(found, unix_ms):
-    return {"kind": found.kind, "subject": found.subject, "level": found.level, "since_unix_ms": unix_ms(found.since_us),
-            "cause": found.cause, "evidence": found.evidence, "do": found.do, "page": found.page}
+    return {
+        "kind": found.kind,
+        "subject": found.subject,
+        "level": found.level,
+        "since_unix_ms": unix_ms(found.since_us),
+        "cause": found.cause,
+        "evidence": found.evidence,
+        "do": found.do,
+        "page": found.page,
+    }
--- a/lapiswing/admission/repeats.py
+++ b/lapiswing/admission/repeats.py
@@ -18,8 +18,20 @@
 
 
 class Entry:
-    __slots__ = ("key", "print", "state", "owner", "sent_us", "ends_us", "window_us", "size", "wide", "durable", "noted_ms",
-                 "lost")
+    __slots__ = (
+        "key",
+        "print",
+        "state",
+        "owner",
+        "sent_us",
+        "ends_us",
+        "window_us",
+        "size",
+        "wide",
+        "durable",
+        "noted_ms",
+        "lost",
+    )
 
     def __init__(self, key, fingerprint, window_us, wide):
         self.durable = self.noted_ms = self.lost = None  # of `state.memory`: whether it is put down
--- a/lapiswing/appliance/supervise.py
+++ b/lapiswing/appliance/supervise.py
@@ -3,6 +3,7 @@
 In its state folder: `lock` (held while it runs, with its process id), `status.json`, `NAME.log` for each process, and the gateway's admin
 sockets. It runs in a session of its own, so that closing the terminal ends neither it nor the gateway. Processes that outlived
 their supervisor are found again by what it wrote down, and watched on, not started twice."""
+
 import fcntl
 import json
 import os
@@ -26,6 +27,7 @@
 
 class Locked(OperatorError):
     """Another supervisor holds this folder; `pid` is its process id."""
+
     exit_code = 2
     advice = "`lapiswing up FILE --attach` opens the one that runs, `lapiswing down FILE` ends it."
 
@@ -84,11 +86,11 @@
     def start(self):
         now_ms = time.time_ns() // 1_000_000
         self.starts.append(now_ms)
-        env = {**os.environ, "LAPISWING_STARTS": ",".join(map(str, self.starts)),
-               "LAPISWING_LAST_END": self.restarts.why or ""}
+        env = {**os.environ, "LAPISWING_STARTS": ",".join(map(str, self.starts)), "LAPISWING_LAST_END": self.restarts.why or ""}
         with open(self.log, "ab") as log:
-            self.process = subprocess.Popen(self.args, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=env,
-                                            start_new_session=True)
+            self.process = subprocess.Popen(
+                self.args, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=env, start_new_session=True
+            )
         self.restarts.start(self.owner.now_ms())
         self.follow(self.process.pid)
 
@@ -109,21 +111,26 @@
         self.process = self.pid = self.fd = None
         self.words = last_words(self.log)
         state = self.restarts.ended(self.owner.now_ms(), code)
-        self.owner.told(f"{self.name} {self.restarts.why}" + (
-            f"; again in {self.restarts.due_ms - self.owner.now_ms():.0f} ms" if state == "waits" else ""))
+        self.owner.told(
+            f"{self.name} {self.restarts.why}"
+            + (f"; again in {self.restarts.due_ms - self.owner.now_ms():.0f} ms" if state == "waits" else "")
+        )
 
     def look(self):
         stamp = self.stamp_now()
         if stamp != self.stamp:
             self.stamp = stamp
             self.restarts.settings_changed(self.owner.now_ms())
-        if self.pid is None and not self.owner.stopping and (
-                self.restarts.state == "new" or self.restarts.due(self.owner.now_ms())):
+        if (
+            self.pid is None
+            and not self.owner.stopping
+            and (self.restarts.state == "new" or self.restarts.due(self.owner.now_ms()))
+        ):
             self.start()
             self.owner.told(f"{self.name} started, process {self.pid}")
         if self.log.exists() and self.log.stat().st_size > LOG_BYTES:
             # The process appends, so the file can be cut under it.
-            data = self.log.read_bytes()[-LOG_BYTES // 2:]
+            data = self.log.read_bytes()[-LOG_BYTES // 2 :]
             self.log.with_suffix(".log.1").write_bytes(data)
             os.truncate(self.log, 0)
 
@@ -135,8 +142,15 @@
                 pass
 
     def row(self):
-        return {"name": self.name, "pid": self.pid, "state": self.restarts.state, "deaths": self.restarts.deaths,
-                "why": self.restarts.why, "last_words": self.words, "starts": list(self.starts)}
+        return {
+            "name": self.name,
+            "pid": self.pid,
+            "state": self.restarts.state,
+            "deaths": self.restarts.deaths,
+            "why": self.restarts.why,
+            "last_words": self.words,
+            "starts": list(self.starts),
+        }
 
 
 class Descriptor:
--- a/lapiswing/benchlink/__main__.py
+++ b/lapiswing/benchlink/__main__.py
@@ -1,4 +1,5 @@
 """Runs the wire loop: python -m lapiswing.benchlink."""
+
 import sys
 
 from lapiswing.benchlink.wire import Malformed, serve
--- a/lapiswing/benchlink/wire.py
+++ b/lapiswing/benchlink/wire.py
@@ -1,4 +1,5 @@
 """Translates between the bench's wire and the decision module: names and units, nothing else."""
+
 import sys
 import traceback
 
@@ -33,21 +34,42 @@
 
 # wire event -> (module event, (wire field, translation, may be missing)...)
 EVENTS = {
-    "Call": ("req", ("Req", as_is, False), ("PromptLen", whole, False), ("ExpiresMs", us, False),
-             ("Dialogue", as_is, True), ("SharedPrefix", as_is, True), ("NPrefix", whole, True),
-             ("MaxTokens", whole, True), ("EstimateMs", us, True), ("StateBits", whole, True),
-             ("ClientGroup", whole, True), ("Kind", whole, False)),
-    "First": ("first", ("Req", as_is, False), ("Server", as_is, False), ("LatencyMs", us, False),
-              ("Try", whole, False)),
-    "Verdict": ("outcome", ("Req", as_is, False), ("Try", whole, False), ("Server", as_is, False),
-                ("Code", code, False), ("LatencyMs", us, True), ("Ended", bool, True), ("Remark", whole, True),
-                ("ServerStats", report, True)),
-    "Note": ("place", ("Req", as_is, False), ("Server", as_is, False), ("Try", whole, True),
-             ("Kind", held, False)),
+    "Call": (
+        "req",
+        ("Req", as_is, False),
+        ("PromptLen", whole, False),
+        ("ExpiresMs", us, False),
+        ("Dialogue", as_is, True),
+        ("SharedPrefix", as_is, True),
+        ("NPrefix", whole, True),
+        ("MaxTokens", whole, True),
+        ("EstimateMs", us, True),
+        ("StateBits", whole, True),
+        ("ClientGroup", whole, True),
+        ("Kind", whole, False),
+    ),
+    "First": ("first", ("Req", as_is, False), ("Server", as_is, False), ("LatencyMs", us, False), ("Try", whole, False)),
+    "Verdict": (
+        "outcome",
+        ("Req", as_is, False),
+        ("Try", whole, False),
+        ("Server", as_is, False),
+        ("Code", code, False),
+        ("LatencyMs", us, True),
+        ("Ended", bool, True),
+        ("Remark", whole, True),
+        ("ServerStats", report, True),
+    ),
+    "Note": ("place", ("Req", as_is, False), ("Server", as_is, False), ("Try", whole, True), ("Kind", held, False)),
     "ClientLeft": ("client_left", ("Req", as_is, False)),
     "Ring": ("timer", ("Nonce", as_is, False)),
-    "StatusBack": ("probed", ("Server", as_is, False), ("Code", code, False), ("LatencyMs", us, True),
-                   ("ServerStats", report, True)),
+    "StatusBack": (
+        "probed",
+        ("Server", as_is, False),
+        ("Code", code, False),
+        ("LatencyMs", us, True),
+        ("ServerStats", report, True),
+    ),
     "NoteFrom": ("peer", ("Sender", as_is, False), ("Msg", bytes.fromhex, False)),
 }
 
@@ -67,8 +89,15 @@
     for name in ("Server", "Mode"):
         if row.get(name) is None:
             raise Malformed(f"field {name} is missing in a row of Ledger")
-    return Server(row["Server"], row.get("Dc") or 0, row.get("Cell") or 0, row.get("Machine") or 0,
-                  row.get("Heft") or 1.0, us(row.get("ReadyAtMs") or 0), row["Mode"])
+    return Server(
+        row["Server"],
+        row.get("Dc") or 0,
+        row.get("Cell") or 0,
+        row.get("Machine") or 0,
+        row.get("Heft") or 1.0,
+        us(row.get("ReadyAtMs") or 0),
+        row["Mode"],
+    )
 
 
 class WireWriter:
@@ -134,7 +163,7 @@
             message = orjson.loads(line)
             name = message["t"]
             if name == "Tick":
-                now_us, = fields(message, (("TimeMs", us, False),))
+                (now_us,) = fields(message, (("TimeMs", us, False),))
                 news = {}
                 continue
             if name == "OverToYou":
@@ -145,7 +174,7 @@
                 number, rows = fields(message, (("SetId", as_is, False), ("RowsIn", list, False)))
                 lists[number] = [server_of(row) for row in rows]
                 continue
-            gateway, = fields(message, (("GatewayId", as_is, False),))
+            (gateway,) = fields(message, (("GatewayId", as_is, False),))
             if name == "Hello":
                 seed, raw = fields(message, (("Prng", int, False), ("Settings", dict, False)))
                 routers[gateway], news[gateway] = Router(seed, settings_of(raw), now_us), []
@@ -156,7 +185,7 @@
                 del routers[gateway]
                 news.pop(gateway, None)
             elif name == "DirectoryUpdate":
-                kind, = fields(message, (("Kind", as_is, False),))
+                (kind,) = fields(message, (("Kind", as_is, False),))
                 rows = lists.get(message.get("SetId"), []) if kind != "unavailable" else []
                 news.setdefault(gateway, []).append(("servers", kind, rows))
             elif name in EVENTS:
--- a/lapiswing/chat/call.py
+++ b/lapiswing/chat/call.py
@@ -1,4 +1,5 @@
 """A chat call: checked where the gateway must understand it, otherwise kept as it came."""
+
 from typing import Annotated, Any
 
 import msgspec
@@ -42,6 +43,7 @@
 
 class Call:
     """`raw` is the whole body as a dict, with fields that this program does not know."""
+
     __slots__ = ("raw", "model", "stream", "include_usage", "max_tokens", "user", "texts")
 
     def __init__(self, raw, shape):
--- a/lapiswing/chat/errors.py
+++ b/lapiswing/chat/errors.py
@@ -2,6 +2,7 @@
 
 Client libraries try again on their own after 408, 409, 429 and 5xx unless `x-should-retry: false` says no. A pushed-back
 req may be tried again and says when; an aborted one promises nothing, so it always says no."""
+
 import orjson
 
 PUSHED_BACK = (503, "overloaded", "The service is too busy for this call. Trying again later does no harm.")
--- a/lapiswing/chat/events.py
+++ b/lapiswing/chat/events.py
@@ -1,4 +1,5 @@
 """Server-sent events of the chat API: splitting a byte stream into events, and putting an answer together."""
+
 import orjson
 
 DONE = b"data: [DONE]\n\n"
@@ -98,8 +99,19 @@
         return "".join(self.parts)
 
     def completion(self):
-        return {"id": self.id, "object": "chat.completion", "created": self.created, "model": self.model,
-                "system_fingerprint": self.fingerprint,
-                "choices": [{"index": 0, "finish_reason": self.finish, "logprobs": None,
-                             "message": {"role": self.role, "content": self.content(), **self.more}}],
-                "usage": self.usage}
+        return {
+            "id": self.id,
+            "object": "chat.completion",
+            "created": self.created,
+            "model": self.model,
+            "system_fingerprint": self.fingerprint,
+            "choices": [
+                {
+                    "index": 0,
+                    "finish_reason": self.finish,
+                    "logprobs": None,
+                    "message": {"role": self.role, "content": self.content(), **self.more},
+                }
+            ],
+            "usage": self.usage,
+        }
--- a/lapiswing/cli/common.py
+++ b/lapiswing/cli/common.py
@@ -1,5 +1,6 @@
 """What several commands use. The other modules of this package know this one only; `main` alone knows
 them."""
+
 import gc
 import json
 from pathlib import Path
@@ -8,13 +9,20 @@
 
 from lapiswing.errors import CantListen, OperatorError
 
-at = click.option("--at", "where", envvar="LAPISWING_ADMIN", default="gateway.sock", show_default=True,
-                  help="Admin socket: a Unix path or host:port.")
+at = click.option(
+    "--at",
+    "where",
+    envvar="LAPISWING_ADMIN",
+    default="gateway.sock",
+    show_default=True,
+    help="Admin socket: a Unix path or host:port.",
+)
 key_option = click.option("--key", envvar="LAPISWING_ADMIN_KEY", help="Where host:port wants one.")
 
 
 class Stop(click.ClickException):
     """A bad argument, file or setting."""
+
     exit_code = 2
 
 
@@ -27,6 +35,7 @@
 
     def show(self, file=None):
         from lapiswing.console.text import clean
+
         for line in self.message.split("\n"):
             click.echo(f"Error: {clean(line)}", file=file, err=True)
         if self.problem.advice:
--- a/lapiswing/cli/demo.py
+++ b/lapiswing/cli/demo.py
@@ -1,4 +1,5 @@
 """`lapiswing demo`: a gateway in this process, stand-ins in a child process."""
+
 import os
 import subprocess
 import sys
@@ -18,9 +19,9 @@
     folder = file.parent
     from lapiswing.gateway.serve import Gateway
     from lapiswing.observe import start_logs
+
     gateway = Gateway(load_text(file.read_text(), str(file)), start_logs("info"))
-    child = subprocess.Popen([sys.executable, "-m", "lapiswing", "standin", str(fleet)],
-                             stdout=subprocess.PIPE, env=os.environ)
+    child = subprocess.Popen([sys.executable, "-m", "lapiswing", "standin", str(fleet)], stdout=subprocess.PIPE, env=os.environ)
     try:
         if not child.stdout.readline():
             raise Stop("the stand-ins did not start")
--- a/lapiswing/cli/dns.py
+++ b/lapiswing/cli/dns.py
@@ -1,4 +1,5 @@
 """`lapiswing dns` and `lapiswing boxes`."""
+
 import json
 import random
 
@@ -6,12 +7,15 @@
 
 from lapiswing.cli.common import Stop, at, key_option, tell
 
-server = click.option("--server", "servers", multiple=True, required=True, help="host:port of a name server; several may be given.")
+server = click.option(
+    "--server", "servers", multiple=True, required=True, help="host:port of a name server; several may be given."
+)
 
 
 def resolver_of(servers):
     from lapiswing.dns.resolver import Resolver
     from lapiswing.loop import Clock, Loop, address_of
+
     try:
         addresses = [address_of(s) for s in servers]
     except ValueError as problem:
@@ -39,9 +43,15 @@
     if not answer.records:
         raise click.ClickException(f"{name}: {answer.rcode}, no {kind} records, for {answer.ttl} s")
     from lapiswing.console.text import clean
+
     for record in answer.records:
-        click.echo(clean(" ".join(str(r.decode(errors="replace") if isinstance(r, bytes) else r) for r in record)
-                         if isinstance(record, tuple) else record))
+        click.echo(
+            clean(
+                " ".join(str(r.decode(errors="replace") if isinstance(r, bytes) else r) for r in record)
+                if isinstance(record, tuple)
+                else record
+            )
+        )
     click.echo(f"for {answer.ttl} s", err=True)
 
 
@@ -55,13 +65,18 @@
     from lapiswing.console.text import clean
     from lapiswing.dns.browse import Browser
     from lapiswing.dns.cache import Cache
+
     resolver = resolver_of(servers)
     loop, browser = resolver.loop, Browser(service, Cache(), sd=not srv)
 
     def ask():
         for name, kind in browser.wants(loop.clock.now_us()):
-            resolver.ask(name, kind, lambda answer, why, name=name, kind=kind: (
-                browser.told(name, kind, answer, loop.clock.now_us(), why), ask()))
+            resolver.ask(
+                name,
+                kind,
+                lambda answer, why, name=name, kind=kind: (browser.told(name, kind, answer, loop.clock.now_us(), why), ask()),
+            )
+
     ask()
     loop.run_until(lambda: not browser.asking, 30_000_000)
     view = browser.view(loop.clock.now_us())
@@ -70,8 +85,11 @@
     rows = [b._asdict() for b in view.boxes]
     if as_json:
         return click.echo(json.dumps({"boxes": rows, "refused": view.refused}))
-    tell([{k: clean(v) if isinstance(v, str) else v for k, v in row.items()} for row in rows], False,
-         ("id", "name", "role", "kind", "zone", "cell", "size", "gen_ms", "draining"))
+    tell(
+        [{k: clean(v) if isinstance(v, str) else v for k, v in row.items()} for row in rows],
+        False,
+        ("id", "name", "role", "kind", "zone", "cell", "size", "gen_ms", "draining"),
+    )
     for name, why in view.refused:
         click.echo(f"refused: {clean(name)}: {clean(why)}")
     return None
@@ -85,14 +103,31 @@
     """The boxes as merged from all sources, with each source's word and who won."""
     from lapiswing.admin.client import ask
     from lapiswing.console.text import clean
+
     snap = ask(where, "GET", "/v1/snapshot?parts=boxes,records", key=key)
     if as_json:
         return click.echo(json.dumps({"boxes": snap["boxes"], "records": snap["records"]}))
-    tell([{"box": b["box"], "role": b["role"], "mode": b["mode"], "why": clean(b["why"] or "-"), "words": clean(", ".join(
-        f"{s}: {w}" for s, w in (b["words"] or {}).items()))} for b in snap["boxes"]], False, ("box", "role", "mode", "why", "words"))
+    tell(
+        [
+            {
+                "box": b["box"],
+                "role": b["role"],
+                "mode": b["mode"],
+                "why": clean(b["why"] or "-"),
+                "words": clean(", ".join(f"{s}: {w}" for s, w in (b["words"] or {}).items())),
+            }
+            for b in snap["boxes"]
+        ],
+        False,
+        ("box", "role", "mode", "why", "words"),
+    )
     for source in (snap["records"] or {}).get("sources", ()):
-        click.echo(clean(f"{source['source']}: {source['state']}, {source['boxes']} boxes" + (
-            f" ({source['problem']})" if source["problem"] else "")))
+        click.echo(
+            clean(
+                f"{source['source']}: {source['state']}, {source['boxes']} boxes"
+                + (f" ({source['problem']})" if source["problem"] else "")
+            )
+        )
     for row in (snap["records"] or {}).get("refused", ()):
         click.echo(clean(f"refused: {row['name']}: {row['why']}"))
     return None
--- a/lapiswing/cli/main.py
+++ b/lapiswing/cli/main.py
@@ -1,4 +1,5 @@
 """Commands for operators. Exit codes: 0 well, 1 something ran and went wrong, 2 a bad argument, file or setting."""
+
 import json
 import sys
 from pathlib import Path
@@ -32,6 +33,7 @@
 def check(file, as_json):
     """Check a settings file; print every fault with its line and field."""
     from lapiswing.settings import SettingsError, load_boxes, load_text
+
     faults = []
     try:
         settings = load_text(Path(file).read_text(), file)
@@ -57,8 +59,11 @@
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--admin-folder", type=click.Path(file_okay=False), help="Where the admin sockets and the audit log go, if the "
-              "settings do not say.")
+@click.option(
+    "--admin-folder",
+    type=click.Path(file_okay=False),
+    help="Where the admin sockets and the audit log go, if the settings do not say.",
+)
 def serve(file, admin_folder):
     """Run one gateway in the foreground.
 
@@ -67,6 +72,7 @@
     from lapiswing.gateway.serve import Gateway
     from lapiswing.observe import start_logs
     from lapiswing.settings import load_text
+
     settings = read_settings(file, load_text)
     if admin_folder:
         for field, name in (("path", "gateway.sock"), ("control_path", "control.sock"), ("audit_file", "audit.jsonl")):
@@ -83,6 +89,7 @@
 def standin(file):
     """Run stand-ins for boxes from a fleet file (JSON, see lapiswing/standin/fleet.py)."""
     from lapiswing.standin import Fleet, load_fleet
+
     try:
         value, specs = load_fleet(Path(file).read_bytes(), file)
     except OSError as problem:
@@ -95,6 +102,7 @@
 
     from lapiswing.loop import Clock, Loop
     from lapiswing.standin.record import Record
+
     loop = Loop(Clock())
     fleet = kind(loop, specs, value.get("seed", 1), value.get("models"), Record(loop, value.get("record")))
     try:
@@ -115,6 +123,7 @@
 def demo(port, boxes):
     """Start a gateway with stand-in boxes on this machine, and print a curl line that works."""
     from lapiswing.cli.demo import run_demo
+
     run_demo(port, boxes)
 
 
@@ -122,8 +131,12 @@
 @click.option("--script", "names", default="all", show_default=True, help="A script's name, several with commas, or all.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--seeds", default=1, show_default=True, help="How many seeds, from --seed on.")
-@click.option("--router", default="module", show_default=True, help="What decides: the module, or a baseline "
-              "(random, round-robin) to measure against.")
+@click.option(
+    "--router",
+    default="module",
+    show_default=True,
+    help="What decides: the module, or a baseline (random, round-robin) to measure against.",
+)
 @click.option("--jobs", default=1, show_default=True, help="Days played at once.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object a day.")
 @click.option("--keep", type=click.Path(file_okay=False), help="A folder for the records of each day.")
@@ -135,6 +148,7 @@
     script's own trouble was not seen, or where a process died unasked."""
     from lapiswing.lab.doubles import ROUTERS
     from lapiswing.lab.scripts import SCRIPTS
+
     chosen = list(SCRIPTS) if names == "all" else names.split(",")
     for name in chosen:
         if name not in SCRIPTS:
@@ -149,6 +163,7 @@
 
     from lapiswing.lab.play import play_one
     from lapiswing.lab.run import good, text_of
+
     bad = 0
     with ProcessPoolExecutor(max(1, jobs)) as pool:
         for result in pool.map(play_one, [(make, n, router, keep) for make, n in days]):
@@ -177,6 +192,7 @@
 
     from lapiswing.lab.doubles import ROUTERS
     from lapiswing.lab.replay import load_day
+
     if router not in ROUTERS:
         raise Stop(f"--router: {router!r} is none of {', '.join(ROUTERS)}")
     days = []
@@ -202,6 +218,7 @@
     To rotate: put the new key in front and restart the gateways one by one; take the old one out when the longest
     session is over."""
     from cryptography.fernet import Fernet
+
     click.echo(Fernet.generate_key().decode())
 
 
@@ -223,4 +240,5 @@
     /cancel   cancel the running call
     /quit     close the session"""
     from lapiswing.cli.session import run_session
+
     run_session(url, key, model, raw)
--- a/lapiswing/cli/session.py
+++ b/lapiswing/cli/session.py
@@ -1,4 +1,5 @@
 """`lapiswing session`: a small client of WebSocket sessions, on the project's loop."""
+
 import codecs
 import os
 import selectors
@@ -17,6 +18,7 @@
 
 class SessionError(OperatorError):
     """The session could not be opened or went away for good."""
+
     advice = "See that the gateway runs at that address, that the key is one of its tenants' and that it serves the model."
 
 
@@ -42,9 +44,16 @@
             return self.loop.call_later(500_000, self.open)
         self.tries, self.stream, stream.owner, self.text = 0, stream, self, []
         self.frames = WSConnection(ConnectionType.CLIENT)
-        stream.write(self.frames.send(Request(
-            host=self.parts.netloc, target=self.parts.path or "/", subprotocols=["lapiswing.chat.v1"],
-            extra_headers=[(b"authorization", b"Bearer " + self.key.encode())])))
+        stream.write(
+            self.frames.send(
+                Request(
+                    host=self.parts.netloc,
+                    target=self.parts.path or "/",
+                    subprotocols=["lapiswing.chat.v1"],
+                    extra_headers=[(b"authorization", b"Bearer " + self.key.encode())],
+                )
+            )
+        )
 
     def fail(self, why):
         self.problem = why
--- a/lapiswing/cli/site.py
+++ b/lapiswing/cli/site.py
@@ -1,4 +1,5 @@
 """Commands of a site's staff: status, console, act, up, down."""
+
 import json
 import os
 import signal
@@ -25,6 +26,7 @@
     Exit codes: 0 well, 3 a warning, 4 something serious, 5 no answer."""
     from lapiswing.admin.client import AdminError, ask
     from lapiswing.console.text import age, clean
+
     try:
         head = ask(where, "GET", "/v1/verdict", key=key)
     except AdminError as problem:
@@ -39,8 +41,10 @@
         click.echo(clean(head["verdict"]["text"]))
         for f in head["findings"]:
             about = f"{clean(f['subject'])}: " if f["subject"] else ""
-            click.echo(f"- {about}{clean(f['cause'])}, for {age(head['unix_ms'] - f['since_unix_ms'])}. {clean(f['evidence'])}.\n"
-                       f"  do: {clean(f['do'])}")
+            click.echo(
+                f"- {about}{clean(f['cause'])}, for {age(head['unix_ms'] - f['since_unix_ms'])}. {clean(f['evidence'])}.\n"
+                f"  do: {clean(f['do'])}"
+            )
     sys.exit(EXITS[head["verdict"]["level"]])
 
 
@@ -61,13 +65,24 @@
     if not sys.stdout.isatty():
         raise Stop("the console wants a terminal; `lapiswing status` does without")
     from lapiswing.console.app import run_console
-    run_console(control, key, may_act=not read_only and (control != where or "control" in where or bool(key)),
-                mono=mono or "NO_COLOR" in os.environ)
+
+    run_console(
+        control,
+        key,
+        may_act=not read_only and (control != where or "control" in where or bool(key)),
+        mono=mono or "NO_COLOR" in os.environ,
+    )
 
 
 @click.group()
-@click.option("--at", "where", envvar="LAPISWING_CONTROL", default="control.sock", show_default=True,
-              help="Control socket: a Unix path or host:port.")
+@click.option(
+    "--at",
+    "where",
+    envvar="LAPISWING_CONTROL",
+    default="control.sock",
+    show_default=True,
+    help="Control socket: a Unix path or host:port.",
+)
 @key_option
 @click.pass_context
 def act(context, where, key):
@@ -77,6 +92,7 @@
 
 def do(context, value):
     from lapiswing.admin.client import ask
+
     where, key = context.obj
     click.echo(ask(where, "POST", "/v1/actions", value, key)["done"])
 
@@ -133,6 +149,7 @@
 
 # ---- the appliance
 
+
 def state_of(file):
     path = Path(file)
     return path.with_name(path.name + ".state")
@@ -160,6 +177,7 @@
     Leaving the console or closing the terminal leaves the gateway running; `lapiswing up FILE --attach` opens it again,
     `lapiswing down FILE` ends all."""
     from lapiswing.appliance.supervise import Supervisor, holder_of
+
     if demo and not file:
         file, fleet = demo_files(port)
     if not file:
@@ -178,13 +196,17 @@
         raise Stop(f"{file}: nothing runs; `lapiswing up {file}` starts it")
     if running is None:
         from lapiswing.settings import load_text
+
         read_settings(file, load_text)  # faults are told here, not only in a log
         begin(file, folder, fleet)
     if no_console or not sys.stdout.isatty():
-        click.echo(f"Running: {file}\nState, logs and sockets: {folder}\n"
-                   f"  lapiswing status --at {folder / 'gateway.sock'}\n  lapiswing up {file} --attach\n  lapiswing down {file}")
+        click.echo(
+            f"Running: {file}\nState, logs and sockets: {folder}\n"
+            f"  lapiswing status --at {folder / 'gateway.sock'}\n  lapiswing up {file} --attach\n  lapiswing down {file}"
+        )
         return
     from lapiswing.console.app import run_console
+
     run_console(str(folder / "control.sock"), may_act=True, mono="NO_COLOR" in os.environ)
     click.echo(f"The gateway goes on. Back to it: lapiswing up {file} --attach; end it: lapiswing down {file}")
 
@@ -192,6 +214,7 @@
 def begin(file, folder, fleet):
     """Starts the supervisor in a session of its own and waits until the gateway answers."""
     from lapiswing.admin.client import AdminError, ask
+
     os.makedirs(folder, mode=0o700, exist_ok=True)
     args = [sys.executable, "-m", "lapiswing", "up", str(file), "--foreground", *(["--fleet", str(fleet)] if fleet else [])]
     with open(folder / "supervisor.log", "ab") as log:
@@ -213,12 +236,14 @@
             pass
         time.sleep(0.05)
     from lapiswing.appliance.supervise import last_words
+
     words = "\n".join(last_words(folder / "gateway.log")[-5:])
     raise Stop(f"the gateway did not start; its last words:\n{words}\nLogs: {folder}")
 
 
 def demo_files(port):
     from lapiswing.standin.demo import write_demo
+
     return write_demo(port, 5)
 
 
@@ -228,6 +253,7 @@
 def down(file, within_s):
     """End the appliance: running reqs finish first."""
     from lapiswing.appliance.supervise import holder_of
+
     folder = state_of(Path(file).resolve())
     pid = holder_of(folder)
     if pid is None:
--- a/lapiswing/cli/store.py
+++ b/lapiswing/cli/store.py
@@ -1,4 +1,5 @@
 """`lapiswing store`: looking at what a gateway remembers, and mending it, while no gateway runs on it."""
+
 import json
 import sys
 
@@ -18,6 +19,7 @@
 def verify(folder, as_json):
     """Read everything; exit with 1 where something can't be read. Changes nothing."""
     from lapiswing.store.tools import verify
+
     found, counts = verify(folder)
     bad = any(f.bad for f in found)
     if as_json:
@@ -58,6 +60,7 @@
 def compact(folder):
     """Rewrite it without what no longer counts."""
     from lapiswing.store.tools import compact
+
     before, after = compact(folder)
     click.echo(f"{before} bytes before, {after} after")
 
@@ -70,6 +73,7 @@
 
     What was acknowledged after that byte is lost: calls with a key whose record is lost can run twice."""
     from lapiswing.store.tools import repair
+
     for line in repair(folder, keep) or ["nothing was left out"]:
         click.echo(line)
     click.echo(f"as it was: {keep}")
--- a/lapiswing/cli/transfer.py
+++ b/lapiswing/cli/transfer.py
@@ -1,4 +1,5 @@
 """`lapiswing transfer` and the parts of `lapiswing keys` that belong to it."""
+
 import json
 import os
 import sys
@@ -15,6 +16,7 @@
 
 def address(_context, _parameter, value):
     from lapiswing.loop import address_of
+
     try:
         return [address_of(v) for v in value] if isinstance(value, tuple) else address_of(value)
     except ValueError as problem:
@@ -23,10 +25,16 @@
 
 def identity(command):
     """Options of who we are towards other agents."""
-    for option in (click.option("--as", "name", default="operator", show_default=True, help="Our name, as in the certificate."),
-                   click.option("--key-file", type=click.Path(dir_okay=False), help="A file with a key of the fleet."),
-                   click.option("--tls", "folder", type=click.Path(file_okay=False), help="A folder with NAME.crt, NAME.key and "
-                                "authority.crt, as `lapiswing keys` makes them.")):
+    for option in (
+        click.option("--as", "name", default="operator", show_default=True, help="Our name, as in the certificate."),
+        click.option("--key-file", type=click.Path(dir_okay=False), help="A file with a key of the fleet."),
+        click.option(
+            "--tls",
+            "folder",
+            type=click.Path(file_okay=False),
+            help="A folder with NAME.crt, NAME.key and authority.crt, as `lapiswing keys` makes them.",
+        ),
+    ):
         command = option(command)
     return command
 
@@ -35,6 +43,7 @@
     from lapiswing.loop import Clock, Loop
     from lapiswing.transfer.agent import Agent
     from lapiswing.transfer.certificates import Tls
+
     keys, tls = [], None
     if key_file:
         try:
@@ -89,6 +98,7 @@
 
     def read():
         return load_agent(Path(file).read_text(), str(file))
+
     settings = read_settings(file, load_agent)
     log = start_logs(settings.log.level, settings.log.format, agent=settings.name)
     try:
@@ -136,6 +146,7 @@
         for one, to in moves[:1]:
             progress.tell(one.verified * manifest.chunk, manifest.length, f"to {to}")
         return len(taken) >= times
+
     done = loop.run_until(look, round(for_s * 1e6))
     progress.end()
     agent.close()
@@ -146,15 +157,24 @@
 
 @transfer.command()
 @click.argument("state")
-@click.option("--from", "holders", multiple=True, required=True, callback=address, help="host:port of a holder; several may be "
-              "given, the next goes on where one fails.")
-@click.option("--to", "folder_to", default=".", show_default=True, type=click.Path(file_okay=False), help="Folder where it lands.")
+@click.option(
+    "--from",
+    "holders",
+    multiple=True,
+    required=True,
+    callback=address,
+    help="host:port of a holder; several may be given, the next goes on where one fails.",
+)
+@click.option(
+    "--to", "folder_to", default=".", show_default=True, type=click.Path(file_okay=False), help="Folder where it lands."
+)
 @click.option("--within-s", default=600.0, show_default=True, help="Seconds that it may take.")
 @click.option("--quiet", is_flag=True)
 @identity
 def fetch(state, holders, folder_to, within_s, quiet, name, key_file, folder):
     """Fetch a state into a folder; what an earlier try has left there is gone on with."""
     from lapiswing.transfer.states import file_name
+
     try:
         file_name(state)
     except ValueError as problem:
@@ -171,6 +191,7 @@
             done = manifest.length - min(move.receiver.left(), manifest.length)
             progress.tell(done, manifest.length, f"from {move.link.address[0]}:{move.link.address[1]}" if move.link else "")
         return move.over
+
     try:
         loop.run_until(look, round(within_s * 1e6) + 1_000_000)
     except KeyboardInterrupt:
@@ -183,8 +204,10 @@
         raise click.ClickException(f"{state}: {move.why}; what is verified stays in {folder_to}")
     found = agent.counts["chunks found again"]
     seconds = (loop.clock.now_us() - move.start_us) / 1e6
-    click.echo(f"{move.path}: {move.receiver.manifest.length} bytes in {seconds:.2f} s, breaks {move.breaks}"
-               + (f", {found} chunks found from before" if found else ""))
+    click.echo(
+        f"{move.path}: {move.receiver.manifest.length} bytes in {seconds:.2f} s, breaks {move.breaks}"
+        + (f", {found} chunks found from before" if found else "")
+    )
 
 
 @transfer.command()
@@ -196,13 +219,20 @@
     """Look at a folder of states, or, by host:port, at an agent: what it holds, and how far away it is."""
     if os.path.isdir(what):
         from lapiswing.transfer.serve import folder_rows
+
         rows = folder_rows(what)
         for row in rows:
-            row["state"] = "damaged manifest" if row["bytes"] is None else "on its way" if row["part"] else (
-                "whole" if row["here"] == row["bytes"] else "file missing or of another length")
+            row["state"] = (
+                "damaged manifest"
+                if row["bytes"] is None
+                else "on its way"
+                if row["part"]
+                else ("whole" if row["here"] == row["bytes"] else "file missing or of another length")
+            )
         return tell(rows, as_json, ("name", "bytes", "state", "root"))
     from lapiswing.transfer.frames import MOST_LISTED
     from lapiswing.loop import address_of
+
     try:
         where = address_of(what)
     except ValueError:
@@ -216,8 +246,13 @@
         raise click.ClickException(f"{what}: {out[0]}")
     link, ready = out[0], time.monotonic()
     theirs = link.theirs
-    head = {"agent": theirs.agent, "version": theirs.version, "features": theirs.features,
-            "certificate": link.stream.peer_names() if agent.tls else None, "ready_ms": round((ready - start) * 1e3, 1)}
+    head = {
+        "agent": theirs.agent,
+        "version": theirs.version,
+        "features": theirs.features,
+        "certificate": link.stream.peer_names() if agent.tls else None,
+        "ready_ms": round((ready - start) * 1e3, 1),
+    }
     states = []
     if "list" in theirs.features:
         asked = time.monotonic()
@@ -238,6 +273,7 @@
 
 class Probe:
     """Waits for a link as a fetch does, and wants no state of it."""
+
     link = None
 
     def __init__(self, out):
@@ -256,6 +292,7 @@
 
 # ---- keys
 
+
 def add_keys(keys):
     @keys.command("transfer")
     def transfer_key():
@@ -264,6 +301,7 @@
         To rotate: add the new one behind the old everywhere, then put it in front everywhere, then take the old one out; SIGHUP
         after each step."""
         import secrets
+
         click.echo(secrets.token_urlsafe(32))
 
     @keys.command()
@@ -276,6 +314,7 @@
         Keep the key away from the boxes; they need the certificate only. To change it: append the new certificate to every
         agent's authority.crt, give agents certificates of the new one, then take the old one out."""
         from lapiswing.transfer.certificates import make_authority, write_secret
+
         key, certificate = make_authority(name, days)
         write_pair(folder, "authority", key, certificate, write_secret)
 
@@ -287,11 +326,13 @@
     def agent_key(folder, name, days, renew):
         """Make an agent's key and certificate, signed by the authority in FOLDER: FOLDER/NAME.key and NAME.crt."""
         from lapiswing.transfer.certificates import issue, write_secret
+
         if not name or not name.replace("-", "").replace(".", "").replace("_", "").isalnum() or name == "authority":
             raise Stop(f"{name!r} can't be an agent's name: letters, digits, dot, dash and underscore are taken")
         try:
-            key, certificate = issue(Path(folder, "authority.key").read_bytes(), Path(folder, "authority.crt").read_bytes(),
-                                     name, days)
+            key, certificate = issue(
+                Path(folder, "authority.key").read_bytes(), Path(folder, "authority.crt").read_bytes(), name, days
+            )
         except OSError as problem:
             raise Stop(f"{problem.filename}: {problem.strerror}; `lapiswing keys authority {folder}` makes one") from None
         except ValueError as problem:
@@ -307,6 +348,7 @@
     def check_keys(folder, name):
         """Say whether an agent NAME can be run with the files in FOLDER, and for how long."""
         from lapiswing.transfer.certificates import check
+
         days = check(Path(folder, f"{name}.crt"), Path(folder, f"{name}.key"), Path(folder, "authority.crt"), name)
         click.echo(f"{name}: good for {days} days")
 
--- a/lapiswing/console/app.py
+++ b/lapiswing/console/app.py
@@ -2,6 +2,7 @@
 
 It asks for a snapshot of what its view shows once a second, and follows the feed. A gateway that is gone is tried again with growing
 pauses; what was known stays on the screen, marked as old."""
+
 import signal
 import sys
 import time
@@ -18,9 +19,14 @@
 MS = 1000
 SNAP_US, LATE_US = 1_000_000, 3_000_000
 PAUSES_US = (200_000, 400_000, 800_000, 1_600_000, 3_000_000)
-PALETTE = [("head", "black", "light gray", "standout"), ("bad", "light red,bold", "", "bold,standout"),
-           ("warn", "yellow", "", "bold"), ("good", "light green", "", "bold"), ("dim", "dark gray", "", ""),
-           ("pick", "black", "dark cyan", "standout")]
+PALETTE = [
+    ("head", "black", "light gray", "standout"),
+    ("bad", "light red,bold", "", "bold,standout"),
+    ("warn", "yellow", "", "bold"),
+    ("good", "light green", "", "bold"),
+    ("dim", "dark gray", "", ""),
+    ("pick", "black", "dark cyan", "standout"),
+]
 
 
 class Feed:
@@ -146,10 +152,16 @@
 
     def act(self, value):
         def done(status, answer):
-            self.model.message = (answer["done"] if status == 200 else f"Not done: {answer}" if status is None else
-                                  f"Not done: {answer.get('error')}")
+            self.model.message = (
+                answer["done"]
+                if status == 200
+                else f"Not done: {answer}"
+                if status is None
+                else f"Not done: {answer.get('error')}"
+            )
             self.changed = True
             self.sooner()
+
         Call(self, b"POST", "/v1/actions", value, done)
 
     def req(self, number):
@@ -159,6 +171,7 @@
             else:
                 self.model.message = str(answer if status is None else answer.get("error"))
             self.changed = True
+
         Call(self, b"GET", f"/v1/reqs/{number}", None, done)
 
 
@@ -175,8 +188,10 @@
     def render(self, size, focus=False):
         columns, rows = size
         lines = render(self.model, columns, rows, time.time_ns() // 1_000_000, self.plain)
-        canvases = [(urwid.Text([(s or None, t) for s, t in line if t] or "", wrap="clip").render((columns,)), None, False)
-                    for line in lines]
+        canvases = [
+            (urwid.Text([(s or None, t) for s, t in line if t] or "", wrap="clip").render((columns,)), None, False)
+            for line in lines
+        ]
         return urwid.CanvasCombine(canvases)
 
     def keypress(self, size, key):
--- a/lapiswing/console/model.py
+++ b/lapiswing/console/model.py
@@ -1,13 +1,24 @@
 """What the console knows, and what keys do to it. No I/O.
 
 `key(name)` changes the view and returns what is to be done on the socket: None, ('quit',), ('act', {...}) or ('req', number)."""
+
 from collections import deque
 
 VIEWS = ("overview", "boxes", "reqs", "holds", "tenants", "timeline")
-NEEDS = {"overview": "boxes,counts,tenants,sessions,store,records,modes", "boxes": "boxes,counts", "reqs": "reqs,counts",
-         "holds": "reqs,counts", "tenants": "tenants,counts", "timeline": "modes,counts"}
-SORTS = {"boxes": ("box", "mode", "out", "first_us", "bad"), "reqs": ("age_ms", "left_ms", "tenant", "stage", "box"),
-         "holds": ("held_ms", "box"), "tenants": ("taken", "tenant", "pushed back", "open")}
+NEEDS = {
+    "overview": "boxes,counts,tenants,sessions,store,records,modes",
+    "boxes": "boxes,counts",
+    "reqs": "reqs,counts",
+    "holds": "reqs,counts",
+    "tenants": "tenants,counts",
+    "timeline": "modes,counts",
+}
+SORTS = {
+    "boxes": ("box", "mode", "out", "first_us", "bad"),
+    "reqs": ("age_ms", "left_ms", "tenant", "stage", "box"),
+    "holds": ("held_ms", "box"),
+    "tenants": ("taken", "tenant", "pushed back", "open"),
+}
 HISTORY = 300  # ticks
 
 
@@ -65,12 +76,12 @@
 
     def rates(self, name, span=60):
         """A counter's growth per tick."""
-        values = [t["counts"].get(name, 0) for t in list(self.ticks)[-span - 1:]]
+        values = [t["counts"].get(name, 0) for t in list(self.ticks)[-span - 1 :]]
         return [max(0, b - a) for a, b in zip(values, values[1:])]
 
     def rate(self, name, span=10):
         """Per second, over the last ticks."""
-        ticks = list(self.ticks)[-span - 1:]
+        ticks = list(self.ticks)[-span - 1 :]
         if len(ticks) < 2:
             return None
         ms = ticks[-1]["unix_ms"] - ticks[0]["unix_ms"]
@@ -81,9 +92,13 @@
     def listed(self):
         """The present view's rows, searched and sorted."""
         snap = self.snap or {}
-        rows = {"boxes": snap.get("boxes"), "reqs": snap.get("reqs"), "tenants": snap.get("tenants"),
-                "holds": [r for r in snap.get("reqs") or [] if r.get("held_ms") is not None],
-                "timeline": snap.get("modes")}.get(self.view) or []
+        rows = {
+            "boxes": snap.get("boxes"),
+            "reqs": snap.get("reqs"),
+            "tenants": snap.get("tenants"),
+            "holds": [r for r in snap.get("reqs") or [] if r.get("held_ms") is not None],
+            "timeline": snap.get("modes"),
+        }.get(self.view) or []
         if self.search:
             rows = [r for r in rows if any(self.search in str(v).lower() for v in r.values())]
         if self.view in SORTS:
@@ -130,7 +145,9 @@
         elif key in ("s", ">"):
             if self.view in SORTS:
                 self.sort[self.view] += 1
-                self.message = "Sorted by " + SORTS[self.view][self.sort[self.view] % len(SORTS[self.view])].replace("_", " ") + "."
+                self.message = (
+                    "Sorted by " + SORTS[self.view][self.sort[self.view] % len(SORTS[self.view])].replace("_", " ") + "."
+                )
         elif key == "r":
             self.back = not self.back
         elif key == "p":
--- a/lapiswing/console/text.py
+++ b/lapiswing/console/text.py
@@ -2,6 +2,7 @@
 
 Names come from boxes' lists, settings and clients' models: any of them may hold control characters, and an escape sequence on
 the screen of one who has rights is an old attack. Every text goes through `clean`."""
+
 import unicodedata
 
 import urwid
@@ -16,8 +17,9 @@
     for char in str(value)[:most]:
         kind = unicodedata.category(char)
         # Cc, Cf: control and format (escape, bidirectional marks); Cs, Co, Cn: surrogates, private, unassigned; Z: line ends
-        out.append(char if kind[0] not in "CMZ" or char == " " else " " if kind[0] == "Z" else
-                   char if kind[0] == "M" and out else "·")
+        out.append(
+            char if kind[0] not in "CMZ" or char == " " else " " if kind[0] == "Z" else char if kind[0] == "M" and out else "·"
+        )
     return "".join(out)
 
 
--- a/lapiswing/console/views.py
+++ b/lapiswing/console/views.py
@@ -1,6 +1,7 @@
 """The model as lines of styled text: a list of lines, each a list of (style, text). Pure; widths are exact.
 
 Styles: '' plain, 'head', 'bad', 'warn', 'good', 'dim', 'pick'. Nothing is told by colour alone."""
+
 from lapiswing.console.model import SORTS, VIEWS
 from lapiswing.console.text import age, clean, fit, spark, width
 
@@ -30,11 +31,13 @@
     elif model.detail is not None:
         body = detail(model, columns)
     else:
-        body = {"overview": overview, "boxes": boxes, "reqs": reqs, "holds": holds, "tenants": tenants,
-                "timeline": timeline}[model.view](model, columns, room, now_ms, plain)
+        body = {"overview": overview, "boxes": boxes, "reqs": reqs, "holds": holds, "tenants": tenants, "timeline": timeline}[
+            model.view
+        ](model, columns, room, now_ms, plain)
     lines += (body + [[("", "")]] * room)[:room]
     return [exact(line, columns) for line in (lines + foot)[:rows]] + [exact([("", "")], columns)] * (
-        rows - len(lines) - len(foot))
+        rows - len(lines) - len(foot)
+    )
 
 
 def exact(line, columns):
@@ -59,8 +62,10 @@
     style, word = LEVELS[v["level"]]
     if model.link == "lost":
         style, word = "bad", "NO CONNECTION"
-        text = (f"for {age(now_ms - model.since_ms)}: {clean(model.problem or '')}; what follows is from "
-                f"{age(now_ms - model.snap_at_ms)} ago")
+        text = (
+            f"for {age(now_ms - model.since_ms)}: {clean(model.problem or '')}; what follows is from "
+            f"{age(now_ms - model.snap_at_ms)} ago"
+        )
     else:
         text = clean(v["text"])
     state = "PAUSED  " if model.paused else "draining  " if g["draining"] else ""
@@ -88,8 +93,18 @@
         return [[("head", fit(" " + clean(model.prompt[0]) + clean(model.prompt[1]) + "_", columns))]]
     if model.message:
         return [[("head", fit(" " + clean(model.message), columns))]]
-    return [[("dim", fit(" 1-6 views  / search  s sort  Enter why  p pause  ? help  q quit"
-                         + (f"   search: {clean(model.search)}" if model.search else ""), columns))]]
+    return [
+        [
+            (
+                "dim",
+                fit(
+                    " 1-6 views  / search  s sort  Enter why  p pause  ? help  q quit"
+                    + (f"   search: {clean(model.search)}" if model.search else ""),
+                    columns,
+                ),
+            )
+        ]
+    ]
 
 
 def overview(model, columns, room, now_ms, plain):
@@ -99,36 +114,76 @@
         style, word = LEVELS[f["level"]]
         mark = " (acknowledged)" if f["acknowledged"] else ""
         about = f"{clean(f['subject'])}: " if f["subject"] else ""
-        out += wrap([("dim" if f["acknowledged"] else style, f" {word}{mark} "),
-                     ("", f"{about}{clean(f['cause'])}, for {age(snap['unix_ms'] - f['since_unix_ms'])}. "
-                      f"{clean(f['evidence'])}.")], columns, 2)
+        out += wrap(
+            [
+                ("dim" if f["acknowledged"] else style, f" {word}{mark} "),
+                ("", f"{about}{clean(f['cause'])}, for {age(snap['unix_ms'] - f['since_unix_ms'])}. {clean(f['evidence'])}."),
+            ],
+            columns,
+            2,
+        )
         out += wrap([("dim", "   do: "), ("", clean(f["do"]))], columns, 2)
     if out:
         out.append([("", "")])
     rate = model.rate("taken")
     cell = max(20, (columns - 30) // 2)
-    rows = (("reqs a second", "taken", "-" if rate is None else f"{rate:.1f}"),
-            ("pushed back", "pushed back", counts.get("pushed back", 0)), ("aborted", "aborted", counts.get("aborted", 0)))
+    rows = (
+        ("reqs a second", "taken", "-" if rate is None else f"{rate:.1f}"),
+        ("pushed back", "pushed back", counts.get("pushed back", 0)),
+        ("aborted", "aborted", counts.get("aborted", 0)),
+    )
     for label, name, value in rows:
-        out.append([("", f" {fit(label, 14)}{fit(str(value), 8, True)}  "),
-                    ("dim", spark(model.rates(name, cell), cell, plain))])
-    out.append([("", f" {fit('open', 14)}{fit(str(now.get('open', '-')), 8, True)}   done {counts.get('done', 0)}, left "
-                 f"{counts.get('left', 0)}, not taken {counts.get('not taken', 0)}, resumed {counts.get('resumed', 0)}")])
-    out.append([("", f" {fit('held', 14)}{fit(str(now.get('holds', '-')), 8, True)}   oldest "
-                 f"{age(now.get('oldest_hold_ms'))} of {age(now.get('hold_limit_ms'))}")])
-    out.append([("", f" {fit('first token', 14)}{fit(age(now.get('first_p50_ms')), 8, True)}   slow ones "
-                 f"{age(now.get('first_p99_ms'))}; reads {now.get('read_wait_ms', 0):.0f} ms, waits for a writer "
-                 f"{now.get('write_wait_ms', 0):.0f} ms")])
+        out.append([("", f" {fit(label, 14)}{fit(str(value), 8, True)}  "), ("dim", spark(model.rates(name, cell), cell, plain))])
+    out.append(
+        [
+            (
+                "",
+                f" {fit('open', 14)}{fit(str(now.get('open', '-')), 8, True)}   done {counts.get('done', 0)}, left "
+                f"{counts.get('left', 0)}, not taken {counts.get('not taken', 0)}, resumed {counts.get('resumed', 0)}",
+            )
+        ]
+    )
+    out.append(
+        [
+            (
+                "",
+                f" {fit('held', 14)}{fit(str(now.get('holds', '-')), 8, True)}   oldest "
+                f"{age(now.get('oldest_hold_ms'))} of {age(now.get('hold_limit_ms'))}",
+            )
+        ]
+    )
+    out.append(
+        [
+            (
+                "",
+                f" {fit('first token', 14)}{fit(age(now.get('first_p50_ms')), 8, True)}   slow ones "
+                f"{age(now.get('first_p99_ms'))}; reads {now.get('read_wait_ms', 0):.0f} ms, waits for a writer "
+                f"{now.get('write_wait_ms', 0):.0f} ms",
+            )
+        ]
+    )
     sessions = snap.get("sessions", {})
     out.append([("", f" {fit('sessions', 14)}{fit(str(sessions.get('open', 0)), 8, True)}   away {sessions.get('away', 0)}")])
     store, tasks = snap.get("store"), snap.get("tasks") or {}
     if store:
         work = ", ".join(t["name"] for t in tasks.get("running", ()) if t["name"] not in ("snapshot", "scan of holds"))
-        out.append([("" if store["mode"] == "good" else "bad", f" {fit('memory', 14)}{fit(str(store['keys']), 8, True)}"),
-                    ("", f"   keys, store {clean(store['mode'])}, {store['bytes'] / 1048576:.1f} MB" + (f"; {clean(work)}" if work else ""))])
+        out.append(
+            [
+                ("" if store["mode"] == "good" else "bad", f" {fit('memory', 14)}{fit(str(store['keys']), 8, True)}"),
+                (
+                    "",
+                    f"   keys, store {clean(store['mode'])}, {store['bytes'] / 1048576:.1f} MB"
+                    + (f"; {clean(work)}" if work else ""),
+                ),
+            ]
+        )
     for source in (snap.get("records") or {}).get("sources", ()):
-        out.append([("" if source["state"] == "good" else "warn", f" {fit('records', 14)}{fit(str(source['boxes']), 8, True)}"),
-                    ("", f"   boxes, {clean(source['state'])}: {clean(source['source'])}")])
+        out.append(
+            [
+                ("" if source["state"] == "good" else "warn", f" {fit('records', 14)}{fit(str(source['boxes']), 8, True)}"),
+                ("", f"   boxes, {clean(source['state'])}: {clean(source['source'])}"),
+            ]
+        )
     out.append([("", "")])
     by = {}
     for b in snap.get("boxes", ()):
@@ -140,10 +195,14 @@
     for role, row in sorted(by.items()):
         parts = ", ".join(f"{n} {word}" for word, n in row.items() if n and word not in ("out", "gone"))
         style = "bad" if not row["ready"] else "warn" if row["suspect"] or row["draining"] else ""
-        out.append([(style, f" {fit({'read': 'readers', 'write': 'writers'}.get(role, 'mixed'), 14)}"), ("", f"{parts}; "
-                    f"{row['out']} forwards out")])
+        out.append(
+            [
+                (style, f" {fit({'read': 'readers', 'write': 'writers'}.get(role, 'mixed'), 14)}"),
+                ("", f"{parts}; {row['out']} forwards out"),
+            ]
+        )
     out.append([("", "")])
-    for line in list(snap.get("modes", ()))[-max(0, room - len(out)):][::-1]:
+    for line in list(snap.get("modes", ()))[-max(0, room - len(out)) :][::-1]:
         out.append([("dim", f" {age(snap['unix_ms'] - line['unix_ms']):>8} ago  "), ("", told(line))])
     return out
 
@@ -174,10 +233,12 @@
     if at >= top + show:
         top = at - show + 1
     model.top = top
-    for i, row in enumerate(rows[top:top + show], top):
+    for i, row in enumerate(rows[top : top + show], top):
         text = " ".join(fit(clean(value(row)), w, right) for (_, _, value, right), w in zip(fields, widths))
         out.append([("pick" if i == at else style_of(row), (">" if i == at else " ") + text)])
-    note = f" {len(rows)} in all" + (f", sorted by {field[model.sort[model.view] % len(field)].replace('_', ' ')}" if field else "")
+    note = f" {len(rows)} in all" + (
+        f", sorted by {field[model.sort[model.view] % len(field)].replace('_', ' ')}" if field else ""
+    )
     return out + [[("dim", note)]]
 
 
@@ -200,43 +261,70 @@
 
 def boxes(model, columns, room, now_ms, plain):
     wide = columns >= 100
-    fields = [("box", 22, lambda r: r["box"], False), ("role", 5, lambda r: r["role"], False),
-              ("state", 0, box_state, False), ("out", 4, lambda r: r["out"], True),
-              ("rd", 4, lambda r: part(r.get("reads")), True), ("wr", 4, lambda r: part(r.get("writes")), True),
-              ("first", 6, lambda r: ms_of(r["first_us"]), True), ("fails", 6, lambda r: sum(
-                  r["codes"].get(c, 0) for c in ("error", "reset", "unreachable", "timed_out")), True)]
+    fields = [
+        ("box", 22, lambda r: r["box"], False),
+        ("role", 5, lambda r: r["role"], False),
+        ("state", 0, box_state, False),
+        ("out", 4, lambda r: r["out"], True),
+        ("rd", 4, lambda r: part(r.get("reads")), True),
+        ("wr", 4, lambda r: part(r.get("writes")), True),
+        ("first", 6, lambda r: ms_of(r["first_us"]), True),
+        ("fails", 6, lambda r: sum(r["codes"].get(c, 0) for c in ("error", "reset", "unreachable", "timed_out")), True),
+    ]
     if wide:
-        fields += [("read", 6, lambda r: ms_of(r["read_us"]), True), ("mem", 4, lambda r: part(r["memory"]), True),
-                   ("kept", 5, lambda r: r["kept_texts"], True), ("bad", 5, lambda r: f"{r['bad']:.2f}", True),
-                   ("up", 8, lambda r: age(r["up_ms"]), True)]
+        fields += [
+            ("read", 6, lambda r: ms_of(r["read_us"]), True),
+            ("mem", 4, lambda r: part(r["memory"]), True),
+            ("kept", 5, lambda r: r["kept_texts"], True),
+            ("bad", 5, lambda r: f"{r['bad']:.2f}", True),
+            ("up", 8, lambda r: age(r["up_ms"]), True),
+        ]
     return table(model, columns, room, fields, model.listed(), box_style)
 
 
 def reqs(model, columns, room, now_ms, plain):
-    fields = [("req", 8, lambda r: r["req"], True), ("stage", 6, lambda r: r["stage"], False),
-              ("age", 7, lambda r: age(r["age_ms"]), True), ("left", 7, lambda r: age(r["left_ms"]), True),
-              ("fwd", 3, lambda r: r["forwards"], True), ("prompt", 6, lambda r: r["prompt"], True),
-              ("tokens", 6, lambda r: r["tokens"], True), ("tenant", 10, lambda r: r["tenant"], False),
-              ("box", 0, lambda r: r["box"] or "-", False)]
-    return table(model, columns, room, fields, model.listed(),
-                 lambda r: "warn" if r["left_ms"] is not None and r["left_ms"] < 500 else "")
+    fields = [
+        ("req", 8, lambda r: r["req"], True),
+        ("stage", 6, lambda r: r["stage"], False),
+        ("age", 7, lambda r: age(r["age_ms"]), True),
+        ("left", 7, lambda r: age(r["left_ms"]), True),
+        ("fwd", 3, lambda r: r["forwards"], True),
+        ("prompt", 6, lambda r: r["prompt"], True),
+        ("tokens", 6, lambda r: r["tokens"], True),
+        ("tenant", 10, lambda r: r["tenant"], False),
+        ("box", 0, lambda r: r["box"] or "-", False),
+    ]
+    return table(
+        model, columns, room, fields, model.listed(), lambda r: "warn" if r["left_ms"] is not None and r["left_ms"] < 500 else ""
+    )
 
 
 def holds(model, columns, room, now_ms, plain):
     limit = model.snap.get("now", {}).get("hold_limit_ms") or 1
-    fields = [("req", 8, lambda r: r["req"], True), ("held", 8, lambda r: age(r["held_ms"]), True),
-              ("of limit", 8, lambda r: part(r["held_ms"] / limit), True), ("tenant", 12, lambda r: r["tenant"], False),
-              ("holder", 0, lambda r: r["box"] or "-", False)]
+    fields = [
+        ("req", 8, lambda r: r["req"], True),
+        ("held", 8, lambda r: age(r["held_ms"]), True),
+        ("of limit", 8, lambda r: part(r["held_ms"] / limit), True),
+        ("tenant", 12, lambda r: r["tenant"], False),
+        ("holder", 0, lambda r: r["box"] or "-", False),
+    ]
     return table(model, columns, room, fields, model.listed(), lambda r: "bad" if r["held_ms"] > limit / 2 else "")
 
 
 def tenants(model, columns, room, now_ms, plain):
     def cap(row):
         return f"{row['cap']['rps']:g}/s for {age(row['cap']['left_ms'])}" if row.get("cap") else "-"
-    fields = [("tenant", 0, lambda r: r["tenant"], False), ("open", 5, lambda r: r.get("open", 0), True),
-              ("taken", 8, lambda r: r.get("taken", 0), True), ("done", 8, lambda r: r.get("done", 0), True),
-              ("pushed", 7, lambda r: r.get("pushed back", 0), True), ("aborted", 7, lambda r: r.get("aborted", 0), True),
-              ("quota", 7, lambda r: f"{r['quota_rps']:g}" if r.get("quota_rps") else "-", True), ("cap", 18, cap, False)]
+
+    fields = [
+        ("tenant", 0, lambda r: r["tenant"], False),
+        ("open", 5, lambda r: r.get("open", 0), True),
+        ("taken", 8, lambda r: r.get("taken", 0), True),
+        ("done", 8, lambda r: r.get("done", 0), True),
+        ("pushed", 7, lambda r: r.get("pushed back", 0), True),
+        ("aborted", 7, lambda r: r.get("aborted", 0), True),
+        ("quota", 7, lambda r: f"{r['quota_rps']:g}" if r.get("quota_rps") else "-", True),
+        ("cap", 18, cap, False),
+    ]
     return table(model, columns, room, fields, model.listed(), lambda r: "warn" if r.get("cap") else "")
 
 
@@ -248,10 +336,27 @@
 
 def detail(model, columns):
     d = model.detail
-    out = [[("head", fit(f" Req {d['req']}: {clean(d['group'])}, tenant {clean(d['tenant'])}, {d['stage']}, age "
-                         f"{age(d['age_ms'])}, {d['forwards']} forwards", columns))]]
-    out.append([("", f" prompt {d['prompt']} tokens, written {d['tokens']}, "
-                 + (f"time left {age(d['left_ms'])}" if d["left_ms"] is not None else "its answer has begun"))])
+    out = [
+        [
+            (
+                "head",
+                fit(
+                    f" Req {d['req']}: {clean(d['group'])}, tenant {clean(d['tenant'])}, {d['stage']}, age "
+                    f"{age(d['age_ms'])}, {d['forwards']} forwards",
+                    columns,
+                ),
+            )
+        ]
+    ]
+    out.append(
+        [
+            (
+                "",
+                f" prompt {d['prompt']} tokens, written {d['tokens']}, "
+                + (f"time left {age(d['left_ms'])}" if d["left_ms"] is not None else "its answer has begun"),
+            )
+        ]
+    )
     out += [[("dim", f" now at {clean(o['box'])}, {o['stage']}, for {age(o['ms'])}")] for o in d["outs"]]
     out.append([("", "")])
     for line in d["reasons"]:
--- a/lapiswing/dns/browse.py
+++ b/lapiswing/dns/browse.py
@@ -11,6 +11,7 @@
     gen     Unix ms of its last start   drain   1: nothing new
     path    reserved
 Keys are not case sensitive, unknown ones are passed over, a box whose words can't be believed is left out and told."""
+
 from typing import NamedTuple
 
 MS = 1000
@@ -22,6 +23,7 @@
 
 class Found(NamedTuple):
     """A box as records tell of it."""
+
     id: str  # address:port
     name: str  # its instance
     role: str | None
@@ -92,9 +94,17 @@
     if role is not None and role not in ROLES:
         raise Refused(f"role: {role!r} is none of {', '.join(ROLES)}")
     host = f"[{address}]" if ":" in address else address
-    return Found(f"{host}:{port}", instance, role, text_of(words, "kind") or defaults.get("kind"), text_of(words, "zone"),
-                 text_of(words, "cell"), number_of(words, "size", float, 0.01, 1000, 1.0),
-                 number_of(words, "gen", int, 0, 1 << 53, 0), text_of(words, "drain") not in ("", "0"))
+    return Found(
+        f"{host}:{port}",
+        instance,
+        role,
+        text_of(words, "kind") or defaults.get("kind"),
+        text_of(words, "zone"),
+        text_of(words, "cell"),
+        number_of(words, "size", float, 0.01, 1000, 1.0),
+        number_of(words, "gen", int, 0, 1 << 53, 0),
+        text_of(words, "drain") not in ("", "0"),
+    )
 
 
 class Browser:
--- a/lapiswing/dns/cache.py
+++ b/lapiswing/dns/cache.py
@@ -3,6 +3,7 @@
 A lifetime is kept between a floor, so that zero lifetimes do not make a flood of questions, and a ceiling, so that a long one does not
 hold a mistake for a day. Records are asked for again when four fifths of it are over. While servers fail, what was last known stands
 for `stale_us` past its end; then it is gone."""
+
 from typing import NamedTuple
 
 S = 1_000_000
--- a/lapiswing/dns/codec.py
+++ b/lapiswing/dns/codec.py
@@ -1,6 +1,7 @@
 """Questions and answers as bytes. Pure; the codec is dnspython's.
 
 RFC 1035, RFC 6891 (EDNS), RFC 2782 (SRV), RFC 6763 (TXT of DNS-SD)."""
+
 from typing import NamedTuple
 
 import dns.exception
--- a/lapiswing/dns/resolver.py
+++ b/lapiswing/dns/resolver.py
@@ -3,6 +3,7 @@
 A question goes out from a new socket (so from a random port) with a random id; an answer counts only when it comes from the server that was
 asked, with this id and this question. A truncated one is asked for again over TCP. A server that does not answer, or fails, is left
 for the next; it is tried again after a growing pause, and when all are bad, the one whose pause ends first."""
+
 import selectors
 import socket
 
@@ -40,8 +41,21 @@
         """`servers`: (address, port); `rng`: random.SystemRandom, or a seeded one in tests."""
         self.loop, self.rng, self.log = loop, rng, log or (lambda event, **fields: None)
         self.servers = [Upstream(a) for a in servers]
-        self.counts = dict.fromkeys(("asked", "answered", "timed out", "tcp", "dropped: garbage", "dropped: id", "dropped: question",
-                                     "dropped: size", "dropped: sender", "failed"), 0)
+        self.counts = dict.fromkeys(
+            (
+                "asked",
+                "answered",
+                "timed out",
+                "tcp",
+                "dropped: garbage",
+                "dropped: id",
+                "dropped: question",
+                "dropped: size",
+                "dropped: sender",
+                "failed",
+            ),
+            0,
+        )
         self.line, self.running = [], set()
 
     def ask(self, name, kind, done):
@@ -146,7 +160,7 @@
     def on_data(self, data):
         self.raw += data
         if len(self.raw) >= 2 and len(self.raw) >= 2 + int.from_bytes(self.raw[:2], "big"):
-            self.take(bytes(self.raw[2:2 + int.from_bytes(self.raw[:2], "big")]))
+            self.take(bytes(self.raw[2 : 2 + int.from_bytes(self.raw[:2], "big")]))
         elif len(self.raw) > 65537:
             self.failed("more than an answer can be")
 
--- a/lapiswing/engine/client.py
+++ b/lapiswing/engine/client.py
@@ -5,6 +5,7 @@
     on_events(forward, values, payloads)   what came in at once: events as values and as bytes, the first included
     on_outcome(forward, code, remark, report)   once; nothing after it
 and may call `cancel()`, after which it hears nothing."""
+
 import orjson
 
 from lapiswing.chat import Events, TooLong
@@ -21,9 +22,19 @@
 def read_body(raw):
     """The call as its reader gets it, in the way of vLLM's published split-prefill interface: one token asked for,
     the state kept for another engine."""
-    body = {**raw, "stream": False, "max_tokens": 1, "kv_transfer_params": {
-        "do_remote_decode": True, "do_remote_prefill": False, "remote_engine_id": None, "remote_block_ids": None,
-        "remote_host": None, "remote_port": None}}
+    body = {
+        **raw,
+        "stream": False,
+        "max_tokens": 1,
+        "kv_transfer_params": {
+            "do_remote_decode": True,
+            "do_remote_prefill": False,
+            "remote_engine_id": None,
+            "remote_block_ids": None,
+            "remote_host": None,
+            "remote_port": None,
+        },
+    }
     body.pop("stream_options", None)
     if "max_completion_tokens" in body:
         body["max_completion_tokens"] = 1
@@ -84,7 +95,7 @@
                     continue
                 value = orjson.loads(payload)
                 if "error" in value:  # the box says that it broke off
-                    self.pass_on(values, payloads[:len(values)])
+                    self.pass_on(values, payloads[: len(values)])
                     return self.break_off("error")
                 value["choices"] or value["usage"]  # what is neither is no event of this API
                 values.append(value)
@@ -167,8 +178,7 @@
             return
         self.status = None
         self.timer = self.engine.loop.call_later(pause * 1000, self.send)
-        self.exchange = self.engine.pool.request(
-            address_of(self.server), b"DELETE", b"/v1/states/" + self.name, [], b"", self)
+        self.exchange = self.engine.pool.request(address_of(self.server), b"DELETE", b"/v1/states/" + self.name, [], b"", self)
 
     def on_head(self, status, fields):
         self.status = status
@@ -190,8 +200,9 @@
 
     def __init__(self, engine, server, method, target, body, timeout_us, done):
         self.done, self.status, self.report, self.parts, self.size = done, None, None, [], 0
-        self.exchange = engine.pool.request(address_of(server), method, target,
-                                            [(b"content-type", b"application/json")] if body else [], body, self)
+        self.exchange = engine.pool.request(
+            address_of(server), method, target, [(b"content-type", b"application/json")] if body else [], body, self
+        )
         self.timer = engine.loop.call_later(timeout_us, self.late)
 
     def late(self):
@@ -232,8 +243,7 @@
     def name(self, gateway, rid, number=None):
         return (f"{gateway}.{rid}" if number is None else f"{gateway}.{rid}.{number}").encode()
 
-    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None,
-                up_us=None):
+    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
         """Sends `raw` (the client's call) as a read, a write of the state that `params` name, or, directly, both. `read_us`:
         how long the read of that state took; its writer weighs it against a move that goes badly."""
         forward = Forward(owner, server, stage, self.event_bytes)
@@ -244,18 +254,34 @@
         if read_us is not None:
             fields.append((b"x-read-ms", b"%d" % (read_us // 1000)))
         forward.name = name
-        forward.exchange = self.pool.request(address_of(server), b"POST", CHAT, fields, orjson.dumps(body), forward,
-                                             fresh, up_us)
+        forward.exchange = self.pool.request(address_of(server), b"POST", CHAT, fields, orjson.dumps(body), forward, fresh, up_us)
         return forward
 
     def release(self, server, name):
         Release(self, server, name)
 
     def hold(self, server, name, tokens, done):
-        Ask(self, server, b"POST", b"/v1/places", orjson.dumps({"request_id": name.decode(), "tokens": tokens}),
-            1_000_000, lambda code, value, _: done(code == "done" and bool((value or {}).get("held"))))
+        Ask(
+            self,
+            server,
+            b"POST",
+            b"/v1/places",
+            orjson.dumps({"request_id": name.decode(), "tokens": tokens}),
+            1_000_000,
+            lambda code, value, _: done(code == "done" and bool((value or {}).get("held"))),
+        )
 
     def probe(self, server, done):
-        Ask(self, server, b"GET", b"/load", b"", 1_000_000, lambda code, value, report: done(
-            code, report or ({k: float(v) for k, v in value.items() if isinstance(v, (int, float))}
-                             if isinstance(value, dict) else None)))
+        Ask(
+            self,
+            server,
+            b"GET",
+            b"/load",
+            b"",
+            1_000_000,
+            lambda code, value, report: done(
+                code,
+                report
+                or ({k: float(v) for k, v in value.items() if isinstance(v, (int, float))} if isinstance(value, dict) else None),
+            ),
+        )
--- a/lapiswing/engine/forward.py
+++ b/lapiswing/engine/forward.py
@@ -3,6 +3,7 @@
 
 class Exchanged:
     """A forward that is one exchange of the HTTP pool. It sets `exchange`, and what is to be told of its outcome."""
+
     over, exchange = False, None
     code = remark = report = None
 
--- a/lapiswing/errors.py
+++ b/lapiswing/errors.py
@@ -13,6 +13,7 @@
     """`where`: the file, address, folder or option; may be empty. `what`: what failed there. `advice`: one
     sentence on what the operator can do. `exit_code`: of the command that ends by it (1 something ran and
     went wrong, 2 a bad argument, file or setting, or something that has to be changed before a start)."""
+
     exit_code = 1
     advice = ""
 
@@ -25,6 +26,7 @@
 
 class CantListen(OperatorError):
     """An address can't be listened on. `problem`: the OSError."""
+
     exit_code = 2
     advice = "Free the address or name another one in the settings, and see that this user may use it."
 
--- a/lapiswing/fleet/__init__.py
+++ b/lapiswing/fleet/__init__.py
@@ -9,6 +9,7 @@
     transport messages over the loop's streams
 
 docs/design/fleet.md has the rules and why they are so."""
+
 from lapiswing.fleet.link import Link
 from lapiswing.fleet.members import Figures
 
--- a/lapiswing/fleet/host.py
+++ b/lapiswing/fleet/host.py
@@ -2,6 +2,7 @@
 
 Keys in the store: `f/life` the own identity's life, `f/o/KEY` own rows, `f/r/WRITER/KEY` rows of others.
 Without a store each start is a new identity, and nothing is remembered."""
+
 import os
 from random import SystemRandom
 
@@ -31,15 +32,26 @@
         address = s.address or f"{s.listen.host}:{self.transport.port}"
         life = self.store.get(LIFE)
         self.link = Link(
-            self.name, address, list(s.peer), [k.encode() for k in s.key], SystemRandom().random,
-            os.urandom(16), self.transport.send, self.loop.clock.now_us(), life.decode() if life else None,
-            self.zone, on_row=self.on_row, on_member=self.on_member, on_log=self.on_log,
-            on_identity=self.on_identity)
-        bad = self.link.restore(value for prefix in (OWN, OTHERS)
-                                for _, value in self.store.range(prefix, prefix[:-1] + b"0"))
+            self.name,
+            address,
+            list(s.peer),
+            [k.encode() for k in s.key],
+            SystemRandom().random,
+            os.urandom(16),
+            self.transport.send,
+            self.loop.clock.now_us(),
+            life.decode() if life else None,
+            self.zone,
+            on_row=self.on_row,
+            on_member=self.on_member,
+            on_log=self.on_log,
+            on_identity=self.on_identity,
+        )
+        bad = self.link.restore(value for prefix in (OWN, OTHERS) for _, value in self.store.range(prefix, prefix[:-1] + b"0"))
         self.store.put([self.life()])
-        self.log.info("fleet link", id=self.link.id, at=address, peers=len(s.peer),
-                      rows=len(self.link.rows.table), unreadable=bad or None)
+        self.log.info(
+            "fleet link", id=self.link.id, at=address, peers=len(s.peer), rows=len(self.link.rows.table), unreadable=bad or None
+        )
         self.tick()
 
     def tick(self):
@@ -66,6 +78,7 @@
                 self.log.error("a row of this copy can't be written", key=key, why=why)
             if done:
                 done(why)
+
         self.store.put([(OWN + key.encode(), raw, 0)], written)
         return row
 
@@ -75,8 +88,7 @@
 
     def on_member(self, one, was):
         if one.state != "suspected" and was != "suspected" or one.state == "gone":
-            self.log.info("fleet member", id=one.id, state=one.state, was=was,
-                          living=len(self.link.members.alive()) + 1)
+            self.log.info("fleet member", id=one.id, state=one.state, was=was, living=len(self.link.members.alive()) + 1)
         self.hear_member(one, was)
 
     def on_log(self, event, **figures):
@@ -86,7 +98,7 @@
         """What the old identity wrote is on the disk as another writer's from now on."""
         items = [self.life()]
         for key, raw in self.store.range(OWN, OWN[:-1] + b"0"):
-            items += [(key, None, 0), (OTHERS + f"{old}/".encode() + key[len(OWN):], raw, 0)]
+            items += [(key, None, 0), (OTHERS + f"{old}/".encode() + key[len(OWN) :], raw, 0)]
         self.store.put(items)
         self.hear_identity(old, new)
 
@@ -99,10 +111,17 @@
         """Plain values: this copy, and each other one as it is seen from here."""
         link, now = self.link, self.loop.clock.now_us()
         members = sorted(link.members.all.values(), key=lambda m: m.id)
-        return {"id": link.id, "may_write": link.may_write(), "rows": len(link.rows.table),
-                "clumsy": link.members.clumsy, "counts": {**link.counts, **self.transport.counts},
-                "members": [{"id": m.id, "address": m.address, "zone": m.zone, "state": m.state,
-                             "for_ms": (now - m.since_us) // 1000} for m in members]}
+        return {
+            "id": link.id,
+            "may_write": link.may_write(),
+            "rows": len(link.rows.table),
+            "clumsy": link.members.clumsy,
+            "counts": {**link.counts, **self.transport.counts},
+            "members": [
+                {"id": m.id, "address": m.address, "zone": m.zone, "state": m.state, "for_ms": (now - m.since_us) // 1000}
+                for m in members
+            ],
+        }
 
     def close(self, at_once=False):
         """Says that it leaves, and closes a moment later, when that is with the kernel. `at_once`: as a kill
