--- a/lapiswing/fleet/link.py
+++ b/lapiswing/fleet/link.py
@@ -11,12 +11,12 @@
 `on_row(row, raw)` hears of each row of others that is new here, `on_member(one, was)` of each change of a
 member's state, `on_log(event, **figures)` of changes of mode. What any of them raises is the host's
 affair."""
+
 import msgspec
 import xxhash
 
 from lapiswing.fleet.members import Figures, Members
-from lapiswing.fleet.messages import (
-    Ack, Ask, Compare, Everyone, Hello, Nack, Ping, Stale, Tell, Versions, Welcome, Whose, Yours)
+from lapiswing.fleet.messages import Ack, Ask, Compare, Everyone, Hello, Nack, Ping, Stale, Tell, Versions, Welcome, Whose, Yours
 from lapiswing.fleet.rows import Rows
 from lapiswing.fleet.seal import Refused, Seal
 
@@ -41,8 +41,24 @@
 
 
 class Link:
-    def __init__(self, name, address, seeds, keys, chance, secret, send, now_us, life=None, zone="",
-                 figures=Figures(), on_row=None, on_member=None, on_log=None, on_identity=None):
+    def __init__(
+        self,
+        name,
+        address,
+        seeds,
+        keys,
+        chance,
+        secret,
+        send,
+        now_us,
+        life=None,
+        zone="",
+        figures=Figures(),
+        on_row=None,
+        on_member=None,
+        on_log=None,
+        on_identity=None,
+    ):
         """`life`: of the identity that the disk holds; None draws one. `chance()`: floats in [0, 1)."""
         self.name, self.address, self.keys = name, address, keys
         self.seeds = [s for s in seeds if s != address]
@@ -51,8 +67,16 @@
         self.on_log = on_log or (lambda event, **figures: None)
         self.on_identity = on_identity or (lambda old, new: None)
         self.boot = self.draw(63)
-        self.counts = {"in": 0, "out": 0, "bytes in": 0, "bytes out": 0, "refused": 0, "news refused": 0,
-                       "dropped": 0, "identities": 0}
+        self.counts = {
+            "in": 0,
+            "out": 0,
+            "bytes in": 0,
+            "bytes out": 0,
+            "refused": 0,
+            "news refused": 0,
+            "dropped": 0,
+            "identities": 0,
+        }
         self.now, self.compare_us, self.call_us, self.learn_us = now_us, now_us, now_us, now_us
         self.renewed_us, self.answers, self.answers_us = now_us - RENEW_US, float(ANSWERS_S), now_us
         self.begin(life or self.new_life(), now_us)
@@ -68,8 +92,7 @@
         self.life, self.id = life, f"{self.name}#{life}"
         self.rows = Rows(self.id)
         self.seal = Seal(self.keys, self.id, self.address, self.boot, self.secret)
-        self.members = Members(self.id, self.address, self.zone, now_us, self.chance, self.say,
-                               self.member_changed, self.f)
+        self.members = Members(self.id, self.address, self.zone, now_us, self.chance, self.say, self.member_changed, self.f)
         self.waiting = {}  # address -> [nonce, said, queue]
         self.learnt, self.seen_at = {}, {}  # id -> (version, whether that copy is sure); id -> address
         self.fresh = {}  # (writer, key) -> [raw, times told]
@@ -276,8 +299,9 @@
         kind = envelope.kind
         if kind == "hello":
             if self.may_answer():
-                self.out(envelope.address, self.seal.seal(sender, Welcome(
-                    message.nonce, self.seal.token_for(sender, envelope.boot))))
+                self.out(
+                    envelope.address, self.seal.seal(sender, Welcome(message.nonce, self.seal.token_for(sender, envelope.boot)))
+                )
         elif kind == "welcome":
             self.welcomed(sender, envelope, message)
         elif kind == "stale":
--- a/lapiswing/fleet/members.py
+++ b/lapiswing/fleet/members.py
@@ -6,6 +6,7 @@
 larger one counts, by incarnation, then by state (alive, suspected, gone, left), so order, loss and repetition
 do not matter. Only the member itself raises its incarnation; it does when it hears that it is suspected or
 gone. docs/design/fleet.md says why each figure is so."""
+
 from math import ceil, log, log2
 from typing import NamedTuple
 
@@ -22,6 +23,7 @@
 
 class Figures(NamedTuple):
     """Times in us."""
+
     period: int = 300 * MS  # between two probes
     answer: int = 100 * MS  # to a direct probe, before others are asked
     helpers: int = 3  # asked to probe for us
@@ -37,16 +39,15 @@
 
 class One:
     """A member as this copy knows it."""
-    __slots__ = ("id", "address", "incarnation", "state", "zone", "raw", "since_us", "due_us", "doubters",
-                 "begun_us")
+
+    __slots__ = ("id", "address", "incarnation", "state", "zone", "raw", "since_us", "due_us", "doubters", "begun_us")
 
     def __init__(self, member, raw, now_us):
         self.id, self.doubters, self.due_us, self.begun_us = member.id, set(), None, 0
         self.set(member, raw, now_us)
 
     def set(self, member, raw, now_us):
-        self.address, self.incarnation, self.state, self.zone = (
-            member.address, member.incarnation, member.state, member.zone)
+        self.address, self.incarnation, self.state, self.zone = (member.address, member.incarnation, member.state, member.zone)
         self.raw, self.since_us = raw, now_us
 
     @property
@@ -110,8 +111,7 @@
         except (msgspec.MsgspecError, ValueError) as problem:
             raise ValueError(f"news can't be read: {problem}") from None
         longest = max(map(len, (told.id, told.address, told.zone, told.by)))
-        if told.state not in RANKS or not told.id or longest > MOST_NAME or not (
-                0 < told.incarnation < MOST_INCARNATION):
+        if told.state not in RANKS or not told.id or longest > MOST_NAME or not (0 < told.incarnation < MOST_INCARNATION):
             raise ValueError("news out of bounds")
         if told.id == self.me:
             if told.state != "alive" and not self.left and told.incarnation >= self.own.incarnation:
@@ -275,8 +275,7 @@
                 return
 
     def look_at_probe(self, now_us):
-        if self.probe is None or self.probe[3] is not None or (
-                now_us - self.probe[2] < self.f.answer * (1 + self.clumsy)):
+        if self.probe is None or self.probe[3] is not None or (now_us - self.probe[2] < self.f.answer * (1 + self.clumsy)):
             return
         seq, name = self.probe[:2]
         helpers = self.some(self.f.helpers, but=(name,))
@@ -325,4 +324,4 @@
     def everyone(self, ask):
         """All that is known, as messages."""
         raws = [msgspec.Raw(self.own_raw), *(msgspec.Raw(m.raw) for m in self.all.values())]
-        return [Everyone(raws[i:i + PIECE], ask and i == 0) for i in range(0, len(raws), PIECE)]
+        return [Everyone(raws[i : i + PIECE], ask and i == 0) for i in range(0, len(raws), PIECE)]
--- a/lapiswing/fleet/messages.py
+++ b/lapiswing/fleet/messages.py
@@ -3,6 +3,7 @@
 
 SPOKEN is the range of versions that this program speaks; a message is taken where the ranges of both sides
 meet."""
+
 import msgspec
 
 SPOKEN = (1, 1)
@@ -14,6 +15,7 @@
     """`sender`, `boot`: the identity that speaks and its present process. `to`: the identity addressed, empty
     in a hello. `token`: what the addressee's process gave this boot. `n`: grows with each message of a boot
     to one addressee."""
+
     kind: str
     sender: str
     boot: int
@@ -27,6 +29,7 @@
 
 class Hello(msgspec.Struct):
     """Asks for a token; `nonce` comes back in the welcome."""
+
     nonce: int
 
 
@@ -37,11 +40,13 @@
 
 class Stale(msgspec.Struct):
     """A message was not taken, as its token is not this process's: `n` says which."""
+
     n: int
 
 
 class Member(msgspec.Struct, omit_defaults=True):
     """What is told of a member. `by`: who suspects it."""
+
     id: str
     address: str
     incarnation: int
@@ -52,6 +57,7 @@
 
 class Row(msgspec.Struct):
     """`writer` is the one identity that may write it. A value of None: it was taken out."""
+
     writer: str
     key: str
     version: int
@@ -72,6 +78,7 @@
 
 class Ask(msgspec.Struct, omit_defaults=True):
     """Probe `target` for me."""
+
     seq: int
     target: str
     news: list[msgspec.Raw] = []
@@ -80,17 +87,20 @@
 
 class Nack(msgspec.Struct):
     """The probe that was asked for has not been answered; I was there to say so."""
+
     seq: int
 
 
 class Tell(msgspec.Struct, omit_defaults=True):
     """Changes, as soon as they are known."""
+
     news: list[msgspec.Raw] = []
     rows: list[msgspec.Raw] = []
 
 
 class Compare(msgspec.Struct):
     """Digests of all members, and of rows by bucket."""
+
     members: int
     buckets: list[int]
 
@@ -98,6 +108,7 @@
 class Versions(msgspec.Struct, omit_defaults=True):
     """The rows of some buckets: [writer, key, version]. `ask`: send me what is newer at yours, and your
     versions."""
+
     buckets: list[int]
     have: list[tuple[str, str, int]]
     ask: bool = True
@@ -105,6 +116,7 @@
 
 class Everyone(msgspec.Struct, omit_defaults=True):
     """All members that are known, in parts. `ask`: tell me yours."""
+
     news: list[msgspec.Raw]
     ask: bool = False
 
@@ -116,12 +128,15 @@
 class Yours(msgspec.Struct, omit_defaults=True):
     """The latest version of the asker's rows that is known here, 0 for none. `sure`: this copy has heard a
     majority itself since its start, so it knows what it knew before."""
+
     version: int
     sure: bool = True
 
 
-KINDS = {kind.__name__.lower(): kind for kind in (
-    Hello, Welcome, Stale, Ping, Ack, Ask, Nack, Tell, Compare, Versions, Everyone, Whose, Yours)}
+KINDS = {
+    kind.__name__.lower(): kind
+    for kind in (Hello, Welcome, Stale, Ping, Ack, Ask, Nack, Tell, Compare, Versions, Everyone, Whose, Yours)
+}
 NAMES = {kind: name for name, kind in KINDS.items()}
 READ = {name: msgspec.msgpack.Decoder(kind) for name, kind in KINDS.items()}
 ENVELOPE = msgspec.msgpack.Decoder(Envelope)
--- a/lapiswing/fleet/rows.py
+++ b/lapiswing/fleet/rows.py
@@ -5,6 +5,7 @@
     row, raw = rows.write("hold/a", b"...")  a row of its own; `settle(raw)` once it is on the disk
     rows.take(raw)                           -> Row if it was new here
     rows.digests() / rows.versions(buckets)  for a comparison with another table"""
+
 import msgspec
 import xxhash
 
@@ -78,8 +79,14 @@
             row = ROW.decode(raw)
         except (msgspec.MsgspecError, ValueError) as problem:
             raise ValueError(f"row can't be read: {problem}") from None
-        if not row.writer or len(row.writer) > MOST_NAME or len(row.key.encode()) > MOST_KEY or not (
-                0 < row.version < MOST_VERSION) or row.value is not None and len(row.value) > MOST_VALUE:
+        if (
+            not row.writer
+            or len(row.writer) > MOST_NAME
+            or len(row.key.encode()) > MOST_KEY
+            or not (0 < row.version < MOST_VERSION)
+            or row.value is not None
+            and len(row.value) > MOST_VALUE
+        ):
             raise ValueError("row out of bounds")
         if row.writer == self.me:
             if row.version > self.version:
@@ -110,8 +117,7 @@
         return [i for i, (a, b) in enumerate(zip(self.sums, sums)) if a != b] if len(sums) == BUCKETS else []
 
     def versions(self, buckets):
-        return [(w, k, self.table[w, k].version) for i in buckets if 0 <= i < BUCKETS
-                for w, k in sorted(self.by_bucket[i])]
+        return [(w, k, self.table[w, k].version) for i in buckets if 0 <= i < BUCKETS for w, k in sorted(self.by_bucket[i])]
 
     def newer_than(self, buckets, have):
         """-> raws of these buckets that the other side lacks or has older, and whether it has any newer."""
--- a/lapiswing/fleet/seal.py
+++ b/lapiswing/fleet/seal.py
@@ -6,6 +6,7 @@
 that, and if its number `n` is new for this boot. So a message to an earlier process of the addressee has no
 token that is good, one of an earlier process of the sender is of a boot that was followed by another, and one
 that was taken is known by its number."""
+
 import hashlib
 import hmac
 from collections import OrderedDict
@@ -30,6 +31,7 @@
 
 class Heard:
     """What one sender's present boot has sent."""
+
     __slots__ = ("boot", "most", "seen", "past")
 
     def __init__(self, boot):
@@ -52,8 +54,18 @@
     def seal(self, to, message):
         """-> bytes. A message other than hello, welcome or stale wants a token: see `tokens`."""
         n = self.numbers[to] = self.numbers.get(to, 0) + 1
-        body = packed(Envelope(NAMES[type(message)], self.identity, self.boot, self.address, n,
-                               msgspec.Raw(packed(message)), to, self.tokens.get(to, b"")))
+        body = packed(
+            Envelope(
+                NAMES[type(message)],
+                self.identity,
+                self.boot,
+                self.address,
+                n,
+                msgspec.Raw(packed(message)),
+                to,
+                self.tokens.get(to, b""),
+            )
+        )
         return self.mac(self.keys[0], body) + body
 
     def open(self, data):
--- a/lapiswing/fleet/transport.py
+++ b/lapiswing/fleet/transport.py
@@ -5,6 +5,7 @@
 
     transport = Streams(loop, "127.0.0.1", 9300, on_message)
     transport.send("10.0.0.5:9300", data)"""
+
 import struct
 from collections import deque
 
@@ -163,13 +164,13 @@
         self.data += data
         at = 0
         while len(self.data) - at >= SIZE.size:
-            size, = SIZE.unpack_from(self.data, at)
+            (size,) = SIZE.unpack_from(self.data, at)
             if not 0 < size <= MOST:
                 self.transport.counts["garbage"] += 1
                 return self.end()
             if len(self.data) - at - SIZE.size < size:
                 break
-            message = bytes(self.data[at + SIZE.size:at + SIZE.size + size])
+            message = bytes(self.data[at + SIZE.size : at + SIZE.size + size])
             at += SIZE.size + size
             self.transport.counts["got"] += 1
             self.transport.on_message(message)
--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -13,6 +13,7 @@
     full                       whether it wants no more for now
     look()                     hears at once whether its client has gone, and then calls `left`
 Exactly one of the final ones comes, written by `finish`, which can't run twice."""
+
 from typing import Any, NamedTuple
 
 import orjson
@@ -33,6 +34,7 @@
 
 class Spec(NamedTuple):
     """A call as the decisions see it, and its body."""
+
     group: int
     tenant: int
     call: Any
@@ -66,6 +68,7 @@
 
 class Out:
     """A forward that is out, as the core sees it."""
+
     __slots__ = ("forward", "server", "stage", "sent_us", "timer", "moved_us")
 
     def __init__(self, server, stage, sent_us):
@@ -91,8 +94,9 @@
 
 
 class Core:
-    def __init__(self, loop, engine, membership, repeats, settings, router_settings, roles, name, seed, log,
-                 router=Router, memory=None):
+    def __init__(
+        self, loop, engine, membership, repeats, settings, router_settings, roles, name, seed, log, router=Router, memory=None
+    ):
         """`settings`: the checked message; `roles`: kind number -> read, write or both."""
         self.loop, self.engine, self.membership, self.repeats, self.lines = loop, engine, membership, repeats, log
         self.settings, self.limits, self.groups = settings, settings.limits, settings.group
@@ -103,8 +107,21 @@
         self.kinds = {}  # box -> kind, also of those that have left the list
         self.departed = set()  # servers that have left the list and are not forgotten yet
         self.draining, self.on_idle, self.open, self.line_each = False, None, 0, True
-        self.counts = {"taken": 0, "done": 0, "pushed back": 0, "aborted": 0, "left": 0, "joined": 0, "replayed": 0,
-                       "not taken": 0, "forwards": 0, "resumed": 0, "backstop": 0, "faults": 0, "capped": 0}
+        self.counts = {
+            "taken": 0,
+            "done": 0,
+            "pushed back": 0,
+            "aborted": 0,
+            "left": 0,
+            "joined": 0,
+            "replayed": 0,
+            "not taken": 0,
+            "forwards": 0,
+            "resumed": 0,
+            "backstop": 0,
+            "faults": 0,
+            "capped": 0,
+        }
         self.memory = memory or Memory(None, None, None)
         self.tally, self.caps, self.on_change = Tally(), Caps(), None
         self.round_us = self.rounds = 0
@@ -172,8 +189,22 @@
         # The module answers before this; the backstop guards the client against a fault in it. It could harm only
         # where the module would still have been in time, which the margin rules out.
         req.backstop = self.loop.call_at(req.expires_us - self.margin_us // 3, self.too_late, req)
-        self.events.append(("req", req.rid, req.tokens, req.expires_us, spec.session, spec.prefix,
-                            spec.prefix_tokens, spec.max_out, None, bits, spec.tenant, spec.group))
+        self.events.append(
+            (
+                "req",
+                req.rid,
+                req.tokens,
+                req.expires_us,
+                spec.session,
+                spec.prefix,
+                spec.prefix_tokens,
+                spec.max_out,
+                None,
+                bits,
+                spec.tenant,
+                spec.group,
+            )
+        )
 
     def refuse(self, listener, stay_us=None):
         self.counts["not taken"] += 1
@@ -311,15 +342,27 @@
         # whether it ran.
         fresh = stage != "read" and self.facts[spec.group].effect == "non-replayable"
         owner = AttemptListener(self, req, req.rid, number, out)
-        out.timer = self.loop.call_at(min(now + timeout_us, req.expires_us - self.margin_us // 2),
-                                      self.timed_out, req, req.rid, number)
+        out.timer = self.loop.call_at(
+            min(now + timeout_us, req.expires_us - self.margin_us // 2), self.timed_out, req, req.rid, number
+        )
 
         def send():
             if spec.entry is not None and stage != "read":
                 self.repeats.sent(spec.entry, self.loop.clock.now_us())
-            out.forward = self.engine.forward(owner, server, stage, req.raw, params, name, key, fresh, read_us,
-                                              out.timer.due_us - self.loop.clock.now_us(),
-                                              None if up_us is None else now + up_us - self.loop.clock.now_us())
+            out.forward = self.engine.forward(
+                owner,
+                server,
+                stage,
+                req.raw,
+                params,
+                name,
+                key,
+                fresh,
+                read_us,
+                out.timer.due_us - self.loop.clock.now_us(),
+                None if up_us is None else now + up_us - self.loop.clock.now_us(),
+            )
+
         if stage == "read" or spec.entry is None:
             send()
         else:
@@ -328,8 +371,14 @@
             out.forward = waiting = Waiting(name)
             # Guards rule 5: the state must not stay held while a disk takes its time. Could harm where a disk takes so long all the
             # time, which `when_lost: GO_ON` is for.
-            self.loop.call_later(self.settings.rules.let_go_ms * MS // 2, lambda: waiting.over or out.forward is not waiting
-                                 or self.noted(req, rid, number, out, send, "the disk takes too long"))
+            self.loop.call_later(
+                self.settings.rules.let_go_ms * MS // 2,
+                lambda: (
+                    waiting.over
+                    or out.forward is not waiting
+                    or self.noted(req, rid, number, out, send, "the disk takes too long")
+                ),
+            )
             self.memory.when_noted(spec.entry, lambda why: self.noted(req, rid, number, out, send, why))
 
     def place_of(self, server):
@@ -351,8 +400,9 @@
         req = self.reqs.get(rid)
         if req is not None and not req.over:
             number = max((n for n, o in req.outs.items() if o.stage == "read"), default=0)
-            self.engine.hold(server, self.engine.name(self.name, rid), req.tokens,
-                             lambda held: self.place(req, rid, server, number, held))
+            self.engine.hold(
+                server, self.engine.name(self.name, rid), req.tokens, lambda held: self.place(req, rid, server, number, held)
+            )
 
     def place(self, req, rid, server, number, held):
         """`held`: None where the server does not know."""
@@ -370,8 +420,7 @@
                 req.left, req.state = req.state[0], None
             return
         if req is not None and (req.state is not None or req.left is not None and not req.outs):
-            server, name = (req.state[0], req.state[2]) if req.state else (
-                req.left, self.engine.name(self.name, rid))
+            server, name = (req.state[0], req.state[2]) if req.state else (req.left, self.engine.name(self.name, rid))
             self.engine.release(server, name)
             req.state = req.left = None
             self.forget(req)
@@ -412,8 +461,9 @@
 
     def probe(self, server):
         sent = self.loop.clock.now_us()
-        self.engine.probe(server, lambda code, report: self.events.append(
-            ("probed", server, code, self.loop.clock.now_us() - sent, report)))
+        self.engine.probe(
+            server, lambda code, report: self.events.append(("probed", server, code, self.loop.clock.now_us() - sent, report))
+        )
 
     def close(self, server):
         self.engine.pool.close_idle(address_of(server))
@@ -549,13 +599,20 @@
     def broken(self, req, code):
         """A begun stream broke; its req is over for the module. The rest goes on as a new one, or it is aborted."""
         group = self.groups[req.spec.group]
-        if not self.draining and resume.may_go_on(self.facts[req.spec.group], group.resume, req.resumes,
-                                                  self.limits.resumes, req.answer.assembler):
+        if not self.draining and resume.may_go_on(
+            self.facts[req.spec.group], group.resume, req.resumes, self.limits.resumes, req.answer.assembler
+        ):
             self.reqs.pop(req.rid)
             self.count += 1
             self.counts["resumed"] += 1
             req.rid, req.resumes, req.begun, req.sends, req.state, req.paused = (
-                self.count, req.resumes + 1, None, 0, None, False)
+                self.count,
+                req.resumes + 1,
+                None,
+                0,
+                None,
+                False,
+            )
             req.history = History()
             req.part = req.answer.assembler.tokens
             req.raw = resume.rest_of(req.spec.call.raw, req.answer.assembler.content(), req.part)
@@ -619,11 +676,21 @@
                 self.memory.ended(entry, "doubt" if entry.state == "doubted" else "free", None)
         spec = req.spec
         if self.line_each:
-            self.lines.info("req", req=req.number, end=how, group=self.facts[spec.group].name, tenant=spec.tenant,
-                          prompt=spec.tokens, tokens=req.answer.assembler.tokens,
-                          first_ms=(req.first_us - req.taken_us) // MS if req.first_us else None,
-                          ms=(now - req.taken_us) // MS, forwards=len([t for t in req.trail if " first " not in t]),
-                          resumes=req.resumes or None, trail="; ".join(req.trail), why=what if isinstance(what, str) else None)
+            self.lines.info(
+                "req",
+                req=req.number,
+                end=how,
+                group=self.facts[spec.group].name,
+                tenant=spec.tenant,
+                prompt=spec.tokens,
+                tokens=req.answer.assembler.tokens,
+                first_ms=(req.first_us - req.taken_us) // MS if req.first_us else None,
+                ms=(now - req.taken_us) // MS,
+                forwards=len([t for t in req.trail if " first " not in t]),
+                resumes=req.resumes or None,
+                trail="; ".join(req.trail),
+                why=what if isinstance(what, str) else None,
+            )
         self.ended.append(req)
         for number in [n for n in req.outs if n != req.begun]:
             if how != "left":  # then the module takes back what it wants taken back
@@ -652,8 +719,12 @@
             self.withdraw_unsent()
         if news[1] != "update":
             self.departed = self.kinds.keys() - self.membership.told.keys()
-        self.lines.info("boxes", kind=news[1], ready=sum(r.mode == "ready" for r in self.membership.told.values()),
-                      rows=[f"{r.id} {r.mode}" for r in news[2]][:20])
+        self.lines.info(
+            "boxes",
+            kind=news[1],
+            ready=sum(r.mode == "ready" for r in self.membership.told.values()),
+            rows=[f"{r.id} {r.mode}" for r in news[2]][:20],
+        )
 
     def withdraw_unsent(self):
         """Attempts that still wait for their connection to a server that drains or has left are rejected in its place:
@@ -695,8 +766,14 @@
     def ask_drained(self):
         """Boxes that said themselves that they drain: has that ended?"""
         for server in self.membership.to_ask():
-            self.engine.probe(server, lambda code, report, server=server: self.tell_members(
-                self.membership.said(server, (report or {}).get("draining", 1.0) > 0)) if code == "done" else None)
+            self.engine.probe(
+                server,
+                lambda code, report, server=server: (
+                    self.tell_members(self.membership.said(server, (report or {}).get("draining", 1.0) > 0))
+                    if code == "done"
+                    else None
+                ),
+            )
 
     # ---- draining
 
@@ -722,6 +799,7 @@
 
 class Waiting:
     """Stands for a forward that is not sent yet."""
+
     report = answer = None
     unsent = True
 
@@ -739,6 +817,7 @@
 
 class AttemptListener:
     """Hears one forward for the core."""
+
     __slots__ = ("core", "req", "rid", "number", "out")
 
     def __init__(self, core, req, rid, number, out):
--- a/lapiswing/gateway/fronts/chat.py
+++ b/lapiswing/gateway/fronts/chat.py
@@ -1,4 +1,5 @@
 """The chat API over HTTP: POST /v1/chat/completions, GET /v1/models, GET /healthz."""
+
 import time
 
 from lapiswing.chat import DONE, Wrong, error_body, event, joined, parse_call, without_usage
@@ -6,8 +7,7 @@
 from lapiswing.gateway.fronts.listener import Listener
 from lapiswing.gateway.fronts.mapping import Unknown
 
-SSE = [(b"content-type", b"text/event-stream; charset=utf-8"), (b"cache-control", b"no-store"),
-       (b"x-accel-buffering", b"no")]
+SSE = [(b"content-type", b"text/event-stream; charset=utf-8"), (b"cache-control", b"no-store"), (b"x-accel-buffering", b"no")]
 NO_RETRY = (b"x-should-retry", b"false")
 
 
@@ -43,15 +43,17 @@
         try:
             return self.mapper.tenant(exchange.header(b"authorization"))
         except Unknown:
-            exchange.respond(401, error_body("Incorrect API key provided.", "invalid_request_error",
-                                             "invalid_api_key"), more=[(b"www-authenticate", b"Bearer")])
+            exchange.respond(
+                401,
+                error_body("Incorrect API key provided.", "invalid_request_error", "invalid_api_key"),
+                more=[(b"www-authenticate", b"Bearer")],
+            )
             return None
 
     def models(self, exchange, name):
         if self.tenant(exchange) is None:
             return
-        rows = [{"id": m, "object": "model", "created": self.started, "owned_by": "lapiswing"}
-                for m in self.mapper.models()]
+        rows = [{"id": m, "object": "model", "created": self.started, "owned_by": "lapiswing"} for m in self.mapper.models()]
         if not name:
             return exchange.json(200, {"object": "list", "data": rows})
         row = next((r for r in rows if r["id"] == name), None)
@@ -68,8 +70,7 @@
             spec = self.mapper.spec(call, tenant, exchange.header, self.core.loop.clock.now_us())
         except Wrong as problem:
             found = problem.param != "model" or "does not exist" not in str(problem)
-            return self.wrong(exchange, 400 if found else 404, str(problem), problem.param,
-                              None if found else "model_not_found")
+            return self.wrong(exchange, 400 if found else 404, str(problem), problem.param, None if found else "model_not_found")
         listener = (Streamed if call.stream else Whole)(exchange, call)
         listener.follow(self.core, self.core.take(spec, listener))
 
@@ -82,9 +83,16 @@
         self.call = call
 
     def on_conflict(self):
-        self.exchange.respond(422, error_body(
-            "This Idempotency-Key was used with another body.", "invalid_request_error", "idempotency_key_reused",
-            "Idempotency-Key"), more=[NO_RETRY])
+        self.exchange.respond(
+            422,
+            error_body(
+                "This Idempotency-Key was used with another body.",
+                "invalid_request_error",
+                "idempotency_key_reused",
+                "Idempotency-Key",
+            ),
+            more=[NO_RETRY],
+        )
 
     def on_pushed_back(self, come_back_us):
         status, fields, body = pushed_back(come_back_us)
@@ -129,8 +137,9 @@
         if not self.exchange.begun:
             return super().on_aborted(why)
         status, _, _ = aborted()
-        self.exchange.send(event({"error": {"message": why or "The call failed.", "type": "server_error",
-                                            "param": None, "code": "aborted"}}))
+        self.exchange.send(
+            event({"error": {"message": why or "The call failed.", "type": "server_error", "param": None, "code": "aborted"}})
+        )
         self.exchange.keep = False
         self.exchange.end()
 
--- a/lapiswing/gateway/fronts/mapping.py
+++ b/lapiswing/gateway/fronts/mapping.py
@@ -1,4 +1,5 @@
 """How a call becomes a req: endpoint group, tenant, session, shared beginning, length, deadline, key. By settings."""
+
 import hashlib
 
 from lapiswing.chat import Wrong, prompt_tokens
@@ -22,7 +23,8 @@
         m = settings.mapping
         self.settings, self.bytes_per_token, self.prefix_messages = settings, m.bytes_per_token, m.prefix_messages
         self.group_header, self.session_header, self.deadline_header = (
-            h.lower().encode() for h in (m.group_header, m.session_header, m.deadline_header))
+            h.lower().encode() for h in (m.group_header, m.session_header, m.deadline_header)
+        )
         self.default_max = m.default_max_tokens
         self.tenants = {key.encode(): i for i, t in enumerate(settings.tenant) for key in t.api_key}
         self.by_header = {g.header_value.encode(): i for i, g in enumerate(settings.group) if g.header_value}
@@ -68,18 +70,28 @@
             if not key or len(key) > KEY_BYTES:
                 raise Wrong(f"Idempotency-Key must have 1 to {KEY_BYTES} characters", None)
             key = f"{tenant}/{group}/{key.decode('latin-1')}"
-        lead = call.texts[:self.prefix_messages] if len(call.texts) > self.prefix_messages else []
+        lead = call.texts[: self.prefix_messages] if len(call.texts) > self.prefix_messages else []
         session = header(self.session_header)
         if session:
             session = f"{tenant}/{session.decode('latin-1')}"
         else:
             # A chat's next call brings all that went before: its beginning, up to the first words of its user, tells
             # which chat it is.
-            session = digest([str(tenant), call.user or "", *call.texts[:self.prefix_messages + 1]])
+            session = digest([str(tenant), call.user or "", *call.texts[: self.prefix_messages + 1]])
         # Asked-for streaming is not part of what is asked: a retry may want the same answer in the other form.
         asked_for = {n: v for n, v in call.raw.items() if n not in ("stream", "stream_options")}
-        return Spec(group, tenant, call, prompt_tokens(call.texts, self.bytes_per_token), now_us + deadline_ms * MS,
-                    session, digest(lead) if lead else None,
-                    prompt_tokens(lead, self.bytes_per_token) if lead else 0, call.max_tokens or self.default_max, key,
-                    hashlib.blake2b(repr(sorted(asked_for.items())).encode("utf-8", "surrogatepass"),
-                                    digest_size=16).digest() if key else b"")
+        return Spec(
+            group,
+            tenant,
+            call,
+            prompt_tokens(call.texts, self.bytes_per_token),
+            now_us + deadline_ms * MS,
+            session,
+            digest(lead) if lead else None,
+            prompt_tokens(lead, self.bytes_per_token) if lead else 0,
+            call.max_tokens or self.default_max,
+            key,
+            hashlib.blake2b(repr(sorted(asked_for.items())).encode("utf-8", "surrogatepass"), digest_size=16).digest()
+            if key
+            else b"",
+        )
--- a/lapiswing/gateway/fronts/websocket.py
+++ b/lapiswing/gateway/fronts/websocket.py
@@ -3,6 +3,7 @@
 The front owns connections and their messages; `sessions.Book` decides on limits, turns, credit and what a returning
 client gets. Each call becomes a req of the same core by the same mapping as the HTTP front's, and its final answer comes
 through the same listener interface."""
+
 import time
 from zlib import crc32
 
@@ -10,8 +11,7 @@
 import orjson
 from wsproto.connection import Connection as Frames
 from wsproto.connection import ConnectionState, ConnectionType
-from wsproto.events import (AcceptConnection, BytesMessage, CloseConnection, Ping, Request,
-                            TextMessage)
+from wsproto.events import AcceptConnection, BytesMessage, CloseConnection, Ping, Request, TextMessage
 from wsproto.handshake import H11Handshake
 from wsproto.utilities import LocalProtocolError
 from wsproto.utilities import RemoteProtocolError as Rejected
@@ -27,13 +27,16 @@
 MS = 1000
 PROTOCOL = "lapiswing.chat.v1"
 TURN_BYTES = 262144  # sent to all sessions in one turn of the loop; the rest waits for the next
-ADVICE = {pb.REPLAYABLE: "It is safe to call again.",
-          pb.KEYED: "Call again with the same Idempotency-Key within its window, at the same gateway if it lives.",
-          pb.NON_REPLAYABLE: "It may have run: don't call again."}
+ADVICE = {
+    pb.REPLAYABLE: "It is safe to call again.",
+    pb.KEYED: "Call again with the same Idempotency-Key within its window, at the same gateway if it lives.",
+    pb.NON_REPLAYABLE: "It may have run: don't call again.",
+}
 
 
 class Message(msgspec.Struct):
     """What a client may say."""
+
     type: str
     id: str | None = None
     body: dict | None = None
@@ -50,8 +53,20 @@
     def __init__(self, core, mapper, settings, life, fair=True):
         s = settings.sessions
         self.core, self.loop, self.mapper, self.settings = core, core.loop, mapper, s
-        self.book = Book(Limits(s.per_tenant, s.total, s.reqs, s.session_bytes, s.total_bytes, s.resume_ms * MS,
-                                s.idle_ms * MS, s.stall_ms * MS, settings.limits.max_come_back_ms * MS), fair)
+        self.book = Book(
+            Limits(
+                s.per_tenant,
+                s.total,
+                s.reqs,
+                s.session_bytes,
+                s.total_bytes,
+                s.resume_ms * MS,
+                s.idle_ms * MS,
+                s.stall_ms * MS,
+                settings.limits.max_come_back_ms * MS,
+            ),
+            fair,
+        )
         self.tokens = Tokens(list(s.token_key), life, max(60, s.resume_ms // 1000 * 4 + s.idle_ms // 1000))
         self.connections, self.draining = set(), False
         self.counts = {"opened": 0, "resumed": 0, "refused": 0, "dropped": 0, "ended": 0}
@@ -63,6 +78,7 @@
 
     def open(self, exchange):
         """The request for an upgrade."""
+
         def refuse(status, text, code, more=()):
             self.counts["refused"] += 1
             exchange.respond(status, error_body(text, "invalid_request_error", code), more=more)
@@ -70,8 +86,9 @@
         if exchange.method != b"GET":
             return refuse(405, "Method not allowed", "method_not_allowed", [(b"allow", b"GET")])
         if b"websocket" not in tokens(exchange.fields, b"upgrade"):
-            return refuse(426, "This path speaks WebSocket.", "upgrade_required",
-                          [(b"upgrade", b"websocket"), (b"connection", b"Upgrade")])
+            return refuse(
+                426, "This path speaks WebSocket.", "upgrade_required", [(b"upgrade", b"websocket"), (b"connection", b"Upgrade")]
+            )
         try:
             tenant = self.mapper.tenant(exchange.header(b"authorization"))
         except Unknown:
@@ -79,21 +96,22 @@
         if self.draining and not self.unfinished():
             status, fields, body = pushed_back(self.book.limits.come_back_us)
             return exchange.respond(status, body, more=fields)
-        offered = [p.strip() for n, v in exchange.fields if n == b"sec-websocket-protocol"
-                   for p in v.decode("latin-1").split(",")]
+        offered = [
+            p.strip() for n, v in exchange.fields if n == b"sec-websocket-protocol" for p in v.decode("latin-1").split(",")
+        ]
         if offered and PROTOCOL not in offered:
             return refuse(400, f"Only the subprotocol {PROTOCOL} is spoken here.", "unknown_subprotocol")
         handshake = H11Handshake(ConnectionType.SERVER)
         try:
             handshake.initiate_upgrade_connection(
-                [(n, v) for n, v in exchange.fields if n not in (b"content-length",)], exchange.target.decode("latin-1"))
+                [(n, v) for n, v in exchange.fields if n not in (b"content-length",)], exchange.target.decode("latin-1")
+            )
             request = next(handshake.events())
             if not isinstance(request, Request):
                 raise Rejected("no request")
             answer = handshake.send(AcceptConnection(subprotocol=PROTOCOL if offered else None))
         except (Rejected, LocalProtocolError, StopIteration) as problem:
-            return refuse(400, f"Not a WebSocket handshake: {problem}", "bad_handshake",
-                          [(b"sec-websocket-version", b"13")])
+            return refuse(400, f"Not a WebSocket handshake: {problem}", "bad_handshake", [(b"sec-websocket-version", b"13")])
         Connection(self, exchange, tenant, answer)
 
     # ---- turns
@@ -167,6 +185,7 @@
 
 class Connection:
     """Owner of an upgraded stream."""
+
     count = 0
 
     def __init__(self, front, exchange, tenant, answer):
@@ -259,8 +278,12 @@
 
     def overdue(self, now):
         s = self.front.settings
-        if self.stream.waiting and now - self.stream.moved_us > s.stall_ms * MS or self.closing and (
-                now - self.heard_us > 5_000_000):
+        if (
+            self.stream.waiting
+            and now - self.stream.moved_us > s.stall_ms * MS
+            or self.closing
+            and (now - self.heard_us > 5_000_000)
+        ):
             return self.stream.abort()
         if now - self.heard_us > 2 * s.ping_ms * MS + 5_000_000:
             return self.stream.abort()  # gone without a word; it may come back
@@ -349,8 +372,17 @@
         self.session, session.owner = session, self
         s = self.front.settings
         token = self.front.tokens.make(session.id, self.tenant, int(time.time()))
-        self.say(orjson.dumps({"type": "session", "token": token, "resume_ms": s.resume_ms, "next": following,
-                               "limits": {"reqs": s.reqs, "message_bytes": s.message_bytes, "idle_ms": s.idle_ms}}))
+        self.say(
+            orjson.dumps(
+                {
+                    "type": "session",
+                    "token": token,
+                    "resume_ms": s.resume_ms,
+                    "next": following,
+                    "limits": {"reqs": s.reqs, "message_bytes": s.message_bytes, "idle_ms": s.idle_ms},
+                }
+            )
+        )
 
     def resume(self, message):
         if self.session is not None:
@@ -359,8 +391,9 @@
         session = self.front.book.sessions.get(number) if why == "good" else None
         if session is None:
             code = {"good": "session_over", "other gateway": "other_gateway"}.get(why, "bad_token")
-            self.say(orjson.dumps({"type": "not_resumed", "code": code, "advice": self.front.advice
-                                   if code != "bad_token" else {}}))
+            self.say(
+                orjson.dumps({"type": "not_resumed", "code": code, "advice": self.front.advice if code != "bad_token" else {}})
+            )
             return self.greet()
         if session.owner is not None:  # the later connection has it: the earlier may be half dead
             old, old_session = session.owner, session.owner.session
@@ -385,9 +418,19 @@
                 return self.error("duplicate_id", "This id is in use.", message.id)
             # The req was not taken; its id is free.
             status, _, body = pushed_back(book.limits.come_back_us)
-            return self.say(orjson.dumps({"type": "final", "id": message.id, "seq": 1, "how": "pushed_back",
-                                          "status": status, "retry_after_ms": book.limits.come_back_us // MS,
-                                          **orjson.loads(body)}))
+            return self.say(
+                orjson.dumps(
+                    {
+                        "type": "final",
+                        "id": message.id,
+                        "seq": 1,
+                        "how": "pushed_back",
+                        "status": status,
+                        "retry_after_ms": book.limits.come_back_us // MS,
+                        **orjson.loads(body),
+                    }
+                )
+            )
         stream.listener = listener = SessionListener(self.front, session, stream)
         headers = {k.lower().encode(): v.encode() for k, v in message.headers.items()}
         try:
@@ -396,8 +439,7 @@
             listener.usage = call.include_usage
             spec = self.front.mapper.spec(call, self.tenant, headers.get, self.loop.clock.now_us())
         except Wrong as problem:
-            return listener.on_wrong(400, orjson.loads(error_body(str(problem), "invalid_request_error", None,
-                                                                  problem.param)))
+            return listener.on_wrong(400, orjson.loads(error_body(str(problem), "invalid_request_error", None, problem.param)))
         stream.req = self.front.core.take(spec, listener)
         return None
 
@@ -445,8 +487,7 @@
         if not self.usage:
             payloads = without_usage(values, payloads)
         if payloads:
-            self.front.book.push(self.session, self.stream, b",".join(payloads), len(payloads),
-                                 now_us=self.front.loop.now)
+            self.front.book.push(self.session, self.stream, b",".join(payloads), len(payloads), now_us=self.front.loop.now)
 
     def final(self, how, status, more):
         data = orjson.dumps({"how": how, "status": status, **more})[1:-1]
@@ -465,9 +506,17 @@
         self.final("wrong", status, {"error": value.get("error", value) if isinstance(value, dict) else value})
 
     def on_conflict(self):
-        self.on_wrong(422, {"error": {"message": "This Idempotency-Key was used with another body.",
-                                      "type": "invalid_request_error", "param": "Idempotency-Key",
-                                      "code": "idempotency_key_reused"}})
+        self.on_wrong(
+            422,
+            {
+                "error": {
+                    "message": "This Idempotency-Key was used with another body.",
+                    "type": "invalid_request_error",
+                    "param": "Idempotency-Key",
+                    "code": "idempotency_key_reused",
+                }
+            },
+        )
 
     def on_pushed_back(self, come_back_us):
         status, _, body = pushed_back(come_back_us)
--- a/lapiswing/gateway/resume.py
+++ b/lapiswing/gateway/resume.py
@@ -6,15 +6,25 @@
 
 
 def may_go_on(group, allowed, resumes, most, assembler):
-    return (allowed and group.effect == "replayable" and resumes < most and assembler.finish is None
-            and not assembler.more and bool(assembler.parts))
+    return (
+        allowed
+        and group.effect == "replayable"
+        and resumes < most
+        and assembler.finish is None
+        and not assembler.more
+        and bool(assembler.parts)
+    )
 
 
 def rest_of(raw, text, tokens):
     """The call that asks for the rest after `text`, `tokens` of which have been written: the partial answer as a last
     message that is to be continued, as vLLM's public chat API names it."""
-    body = {**raw, "messages": [*raw["messages"], {"role": "assistant", "content": text}],
-            "continue_final_message": True, "add_generation_prompt": False}
+    body = {
+        **raw,
+        "messages": [*raw["messages"], {"role": "assistant", "content": text}],
+        "continue_final_message": True,
+        "add_generation_prompt": False,
+    }
     for name in ("max_tokens", "max_completion_tokens"):
         if body.get(name):
             body[name] = max(1, body[name] - tokens)
@@ -26,8 +36,11 @@
     value = {**value, "id": assembler.id, "created": assembler.created, "model": assembler.model}
     usage = value.get("usage")
     if usage:
-        value["usage"] = {**usage, "prompt_tokens": max(0, usage.get("prompt_tokens", 0) - tokens),
-                          "completion_tokens": usage.get("completion_tokens", 0) + tokens}
+        value["usage"] = {
+            **usage,
+            "prompt_tokens": max(0, usage.get("prompt_tokens", 0) - tokens),
+            "completion_tokens": usage.get("completion_tokens", 0) + tokens,
+        }
     choices = []
     for choice in value.get("choices") or ():
         delta = {n: v for n, v in (choice.get("delta") or {}).items() if n != "role"}
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -1,4 +1,5 @@
 """Puts one gateway together: settings, loop, boxes' list, core, chat front, signals."""
+
 import os
 import signal
 import time
@@ -39,8 +40,9 @@
 
     def __init__(self, settings, log, loop=None, base=".", router=Router):
         self.settings, self.log, self.base = settings, log, base
-        self.loop = loop or Loop(Clock(), on_error=lambda problem: log.error(
-            "fault", why=f"{type(problem).__name__}: {problem}", exc_info=problem))
+        self.loop = loop or Loop(
+            Clock(), on_error=lambda problem: log.error("fault", why=f"{type(problem).__name__}: {problem}", exc_info=problem)
+        )
         s, l = settings, settings.listen
         self.zones, self.cells = Names(), Names()
         self.pool = Pool(self.loop, s.limits.connections_per_box, connect_us=s.limits.connect_ms * MS)
@@ -49,23 +51,51 @@
         name = f"{s.gateway.name}-{s.gateway.index}-{os.urandom(4).hex()}"
         self.tasks, self.store = Tasks(self.loop), None
         if s.store.folder:
-            self.store = Store(Files(os.path.join(base, s.store.folder)), Worker(self.loop), segment_bytes=s.store.segment_bytes,
-                               log=lambda event, **fields: log.warning(event, **fields))
+            self.store = Store(
+                Files(os.path.join(base, s.store.folder)),
+                Worker(self.loop),
+                segment_bytes=s.store.segment_bytes,
+                log=lambda event, **fields: log.warning(event, **fields),
+            )
         self.unix_offset_us = self.loop.clock.now_us() - time.time_ns() // 1000
-        memory = Memory(self.store, lambda: (self.loop.clock.now_us() - self.unix_offset_us) // MS, self.unix_to_us,
-                        s.store.answer_bytes, s.store.when_lost == GO_ON)
-        self.core = Core(self.loop, Engine(self.loop, self.pool, s.limits.event_bytes),
-                         Membership(MemberLimits(s.dns.gone_ms * MS, s.dns.doubt_ms * MS)),
-                         Repeats(s.limits.repeats_kept, s.limits.repeat_bytes), s, router_settings(s, self.zones),
-                         [ROLES[k.role] for k in s.kind], name, seed, log, router, memory)
+        memory = Memory(
+            self.store,
+            lambda: (self.loop.clock.now_us() - self.unix_offset_us) // MS,
+            self.unix_to_us,
+            s.store.answer_bytes,
+            s.store.when_lost == GO_ON,
+        )
+        self.core = Core(
+            self.loop,
+            Engine(self.loop, self.pool, s.limits.event_bytes),
+            Membership(MemberLimits(s.dns.gone_ms * MS, s.dns.doubt_ms * MS)),
+            Repeats(s.limits.repeats_kept, s.limits.repeat_bytes),
+            s,
+            router_settings(s, self.zones),
+            [ROLES[k.role] for k in s.kind],
+            name,
+            seed,
+            log,
+            router,
+            memory,
+        )
         self.core.on_list_wanted = self.read_boxes
         mapper = Mapper(s)
         self.sessions = SessionFront(self.core, mapper, s, name)
-        self.front = ChatFront(self.core, mapper, lambda: not self.core.draining,
-                               {b"/v1/chat/sessions": self.sessions.open})
-        self.server = Server(self.loop, self.front.app, Limits(
-            l.head_bytes, l.body_bytes, l.head_ms * MS, l.body_ms * MS, l.idle_ms * MS, l.stall_ms * MS,
-            connections=l.connections))
+        self.front = ChatFront(self.core, mapper, lambda: not self.core.draining, {b"/v1/chat/sessions": self.sessions.open})
+        self.server = Server(
+            self.loop,
+            self.front.app,
+            Limits(
+                l.head_bytes,
+                l.body_bytes,
+                l.head_ms * MS,
+                l.body_ms * MS,
+                l.idle_ms * MS,
+                l.stall_ms * MS,
+                connections=l.connections,
+            ),
+        )
         self.listener, self.stamp, self.signals = None, None, 0
         self.list_fault = self.admin = None
 
@@ -88,9 +118,14 @@
         if self.settings.dns.service or self.settings.dns.srv:
             self.discover()
         self.core.turn()
-        self.listener = Listener(self.loop, sock, self.server.accept, l.connections,
-                                 high=self.settings.limits.answer_buffer_bytes,
-                                 low=self.settings.limits.answer_buffer_bytes // 4)
+        self.listener = Listener(
+            self.loop,
+            sock,
+            self.server.accept,
+            l.connections,
+            high=self.settings.limits.answer_buffer_bytes,
+            low=self.settings.limits.answer_buffer_bytes // 4,
+        )
         self.server.listener = self.listener
         if self.settings.boxes_file:
             self.loop.call_later(self.settings.boxes_poll_ms * MS, self.poll)
@@ -106,19 +141,28 @@
         """Looks for boxes by records, from now on."""
         d, core = self.settings.dns, self.core
         cache = Cache(d.lifetime_floor_s, d.lifetime_ceiling_s, stale_s=d.stale_s)
-        browsers = {f"dns-sd {n}": Browser(n, cache) for n in d.service} | {f"srv {n}": Browser(n, cache, sd=False) for n in d.srv}
-        resolver = Resolver(self.loop, [address_of(a) for a in d.server], SystemRandom(),
-                            lambda event, **fields: self.log.debug(event, **fields))
+        browsers = {f"dns-sd {n}": Browser(n, cache) for n in d.service} | {
+            f"srv {n}": Browser(n, cache, sd=False) for n in d.srv
+        }
+        resolver = Resolver(
+            self.loop, [address_of(a) for a in d.server], SystemRandom(), lambda event, **fields: self.log.debug(event, **fields)
+        )
         self.discovery = Discovery(
-            self.loop, resolver, browsers,
+            self.loop,
+            resolver,
+            browsers,
             lambda found: row_of_found(found, self.settings, self.zones, self.cells, self.started_us),
-            core.records, core.look_at_members, self.log)
+            core.records,
+            core.look_at_members,
+            self.log,
+        )
 
     discovery = fleet = None
 
     def join_fleet(self):
         """The link to other copies, loaded where it is wanted only. Raises OSError where it can't listen."""
         from lapiswing.fleet.host import Host
+
         s = self.settings
         usable = self.store is not None and self.store.mode == "good"
         self.fleet = Host(self.loop, s.fleet, s.gateway.name, s.gateway.zone, self.store if usable else None, self.log)
@@ -134,12 +178,22 @@
             if problem.kind == "locked":
                 raise
             self.store.refuse(str(problem))
-            return self.log.error("store can't be opened; calls with a key are pushed back" if not self.core.memory.go_on else
-                                  "store can't be opened; nothing is remembered", why=str(problem))
+            return self.log.error(
+                "store can't be opened; calls with a key are pushed back"
+                if not self.core.memory.go_on
+                else "store can't be opened; nothing is remembered",
+                why=str(problem),
+            )
         core = self.core
         found = core.memory.restore(core.repeats, core.membership, core.caps, [t.name for t in self.settings.tenant])
-        self.log.info("remembered", keys=len(found.keys), drains=len(found.drains), caps=len(found.caps),
-                      unreadable=found.unreadable or None, ms=round((time.monotonic() - start) * 1000))
+        self.log.info(
+            "remembered",
+            keys=len(found.keys),
+            drains=len(found.drains),
+            caps=len(found.caps),
+            unreadable=found.unreadable or None,
+            ms=round((time.monotonic() - start) * 1000),
+        )
         self.take_up(found)
         self.loop.call_later(CHORES_US, self.chores)
 
@@ -150,8 +204,10 @@
         if record is None or not hasattr(router, "take_up"):
             return self.log.info("learnt figures", start="fresh", why=found.learnt_why)
         try:
-            figures = {**record.figures, "boxes": [
-                [box, self.started_us(started), *rest] for box, started, *rest in record.figures["boxes"]]}
+            figures = {
+                **record.figures,
+                "boxes": [[box, self.started_us(started), *rest] for box, started, *rest in record.figures["boxes"]],
+            }
             said = router.take_up(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
         except (ValueError, TypeError, LookupError) as problem:
             return self.log.warning("learnt figures", start="fresh", why=f"can't be used: {problem}")
@@ -162,8 +218,10 @@
             return
         figures = self.core.router.learnt()
         # Start times as Unix milliseconds: the loop's own time means nothing to the next life.
-        figures["boxes"] = [[box, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
-                            for box, started, *rest in figures["boxes"]]
+        figures["boxes"] = [
+            [box, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
+            for box, started, *rest in figures["boxes"]
+        ]
         self.core.memory.learnt(figures)
 
     chores_done = 0
@@ -246,7 +304,12 @@
         # What was written last is still on its way to clients.
         if any(c.stream.waiting for c in self.server.connections) and self.patience():
             return self.loop.call_later(20 * MS, self.finish)
-        self.log.info("stopped", rounds=self.core.rounds, round_ms=self.core.round_us // MS, **{k.replace(" ", "_"): v for k, v in self.core.counts.items()})
+        self.log.info(
+            "stopped",
+            rounds=self.core.rounds,
+            round_ms=self.core.round_us // MS,
+            **{k.replace(" ", "_"): v for k, v in self.core.counts.items()},
+        )
         self.loop.stop()
 
     tries = 100
--- a/lapiswing/gateway/tally.py
+++ b/lapiswing/gateway/tally.py
@@ -1,4 +1,5 @@
 """Plain counts by box and by tenant, for those who look. No I/O, and nothing is decided by them."""
+
 from bisect import bisect_left
 
 STEPS_MS = [1, 2, 4, 6, 10, 15, 25, 40, 60, 100, 150, 250, 400, 600, 1000, 1500, 2500, 4000, 6000, 10000, 20000, 60000]
@@ -59,8 +60,16 @@
     def tenant(self, tenant):
         found = self.tenants.get(tenant)
         if found is None:
-            found = self.tenants[tenant] = {"taken": 0, "done": 0, "pushed back": 0, "aborted": 0, "left": 0,
-                                            "capped": 0, "tokens": 0, "open": 0}
+            found = self.tenants[tenant] = {
+                "taken": 0,
+                "done": 0,
+                "pushed back": 0,
+                "aborted": 0,
+                "left": 0,
+                "capped": 0,
+                "tokens": 0,
+                "open": 0,
+            }
         return found
 
     def sent(self, server):
--- a/lapiswing/http1/client.py
+++ b/lapiswing/http1/client.py
@@ -1,4 +1,5 @@
 """The client side: a bounded pool of kept connections for each address."""
+
 from collections import deque
 
 import httptools
@@ -109,11 +110,11 @@
                 raise Bad("the head is too long")
             if end < 0:
                 # Not the start of an answer: no need to wait for 64 KB of it.
-                if not (b"HTTP/1."[:len(self.raw)] == self.raw[:7]):
+                if not (b"HTTP/1."[: len(self.raw)] == self.raw[:7]):
                     raise Bad("not an HTTP answer")
                 return None
             line, fields = split_head(bytes(self.raw[:end]), STATUS_LINE)
-            rest = bytes(self.raw[end + 4:])
+            rest = bytes(self.raw[end + 4 :])
             status = int(line[9:12])
             if 100 <= status < 200 and status != 101:
                 self.raw = bytearray(rest)
@@ -154,7 +155,7 @@
                 exchange.handler.on_body(parts[0] if len(parts) == 1 else b"".join(parts))
         elif self.left is not None:
             if len(data) > self.left:
-                data, self.keep = data[:self.left], False
+                data, self.keep = data[: self.left], False
             self.left -= len(data)
             self.done = self.left == 0
             exchange.handler.on_body(data)
@@ -277,6 +278,7 @@
 
         def head():
             return request_head(method, target, [*fields, *(late_fields() if late_fields is not None else ())])
+
         exchange = ClientExchange(self, address, head, body, handler)
         if up_us is not None:
             exchange.connect_us, exchange.wait_us = min(self.connect_us, up_us), up_us
@@ -334,8 +336,9 @@
             self.all.add(conn)
             conn.start(exchange)
 
-        attempt = exchange.connecting = connect(self.loop, address, exchange.connect_us, done, wait_us=exchange.wait_us,
-                                                 common=self.stuck.common)
+        attempt = exchange.connecting = connect(
+            self.loop, address, exchange.connect_us, done, wait_us=exchange.wait_us, common=self.stuck.common
+        )
 
     def dropped(self, address):
         self.count[address] -= 1
--- a/lapiswing/http1/server.py
+++ b/lapiswing/http1/server.py
@@ -1,12 +1,12 @@
 """The server side. `app(exchange)` is called when a whole request is in."""
+
 from collections import deque
 from dataclasses import dataclass
 
 import httptools
 import orjson
 
-from lapiswing.http1.wire import (REQUEST_LINE, Bad, check_framing, chunk, get, response_head, split_head,
-                                  tokens)
+from lapiswing.http1.wire import REQUEST_LINE, Bad, check_framing, chunk, get, response_head, split_head, tokens
 
 
 LOOKED_AT = 64  # connections in one search for room
@@ -19,6 +19,7 @@
 class Limits:
     """Bytes and microseconds. A head or body that is not whole in its time is answered 408 and closed; `idle_us`
     is the wait for a next request; a client that takes nothing for `stall_us` while bytes wait for it has left."""
+
     head_bytes: int = 32768
     body_bytes: int = 4 << 20
     head_us: int = 10_000_000
@@ -44,8 +45,9 @@
         self.path = target.split(b"?", 1)[0]
         self.body, self.begun, self.over, self.chunked = b"", False, False, False
         self.arrived_us = conn.server.loop.now  # when its first byte came in, at the earliest
-        self.keep = (b"close" not in tokens(fields, b"connection") if version == b"1.1"
-                     else b"keep-alive" in tokens(fields, b"connection"))
+        self.keep = (
+            b"close" not in tokens(fields, b"connection") if version == b"1.1" else b"keep-alive" in tokens(fields, b"connection")
+        )
 
     def header(self, name, default=None):
         return get(self.fields, name, default)
@@ -213,7 +215,7 @@
             return False
         line, fields = split_head(bytes(self.raw[:end]), REQUEST_LINE)
         arrived_us = self.arrivals.of_first(len(self.raw))
-        del self.raw[:end + 4]
+        del self.raw[: end + 4]
         method, target, version = line.split(b" ")
         version = version[5:]
         length = check_framing(fields, True)
@@ -250,15 +252,15 @@
             while at < len(data) and not self.whole:
                 # Up to a line's end at a time, so that the parser is never fed past the end of this body.
                 step = self.step(data, at)
-                self.parser.feed_data(data[at:at + step])
+                self.parser.feed_data(data[at : at + step])
                 at += step
             self.raw += data[at:]
             if not self.whole:
                 return False
             self.parser = None
         else:
-            part = bytes(self.raw[:self.left])
-            del self.raw[:len(part)]
+            part = bytes(self.raw[: self.left])
+            del self.raw[: len(part)]
             self.parts.append(part)
             self.left -= len(part)
             if self.left:
@@ -298,8 +300,11 @@
                 exchange.abort()
             else:
                 exchange.keep = False
-                exchange.json(500, {"error": {"message": "internal error", "type": "server_error", "param": None,
-                                              "code": "internal_error"}}, more=[(b"x-should-retry", b"false")])
+                exchange.json(
+                    500,
+                    {"error": {"message": "internal error", "type": "server_error", "param": None, "code": "internal_error"}},
+                    more=[(b"x-should-retry", b"false")],
+                )
 
     def answered(self, exchange):
         if exchange is not self.current:
@@ -338,8 +343,7 @@
         exchange.keep = False
         self.current = exchange
         self.server.refused += 1
-        exchange.json(status, {"error": {"message": why, "type": "invalid_request_error", "param": None,
-                                         "code": "bad_http"}})
+        exchange.json(status, {"error": {"message": why, "type": "invalid_request_error", "param": None, "code": "bad_http"}})
 
     def give_place(self):
         """Closes at once. A request that is half here is refused, not dropped."""
--- a/lapiswing/http1/wire.py
+++ b/lapiswing/http1/wire.py
@@ -2,6 +2,7 @@
 
 The parser is lenient here and there. A router stands between two parsers, and what two parsers read differently is
 how a request is smuggled past one of them (RFC 9112, section 11.2), so a head is looked at byte by byte first."""
+
 import re
 from http import HTTPStatus
 
--- a/lapiswing/interface.py
+++ b/lapiswing/interface.py
@@ -21,6 +21,7 @@
 connection to this server; it never ran, and says nothing of the server.
 Times are whole microseconds; ids are passed through unchanged.
 """
+
 from typing import NamedTuple, Protocol
 
 
--- a/lapiswing/lab/audit.py
+++ b/lapiswing/lab/audit.py
@@ -3,6 +3,7 @@
 
 Rows of clients: try, first, final. Rows of boxes: arrive, ran, repeat, state, let_go, end, cold, fell, up, down. Rows of
 the runner: list (what the list says of a box from now on), killed (a gateway, outright), started."""
+
 from collections import defaultdict
 from dataclasses import dataclass, field
 
@@ -12,6 +13,7 @@
 @dataclass
 class Limits:
     """Milliseconds. `poll_ms` is how late a gateway may read the list; `slack_ms` covers what is on its way."""
+
     grace_ms: int = 1000
     let_go_ms: int = 500
     poll_ms: int = 150
@@ -79,14 +81,17 @@
     for key, row in tries.items():
         end = max((r["t"] for r in finals.get(key, ())), default=row["t"])
         if any(t - 50 * MS <= row["t"] <= t + 50 * MS for t in stops[row["gateway"]]) and not any(
-                row["t"] <= r["t"] <= end for r in by_lab.get(row["lab"], ())):
+            row["t"] <= r["t"] <= end for r in by_lab.get(row["lab"], ())
+        ):
             seen["tries at a stopped gateway"] += 1
             finals[key] = [{**r, "how": "refused"} if r["how"] == "cut" else r for r in finals[key]]
-    rules = [one_answer(tries, finals, firsts, kills, by_lab, limits, seen),
-             no_effect_twice(tries, finals, by_lab, kills, limits, seen),
-             drains_kept(box_rows, runner_rows, limits, seen),
-             cold_not_pushed(box_rows, runner_rows, limits, seen),
-             nothing_pinned(box_rows, by_name, by_lab, kills, limits, seen)]
+    rules = [
+        one_answer(tries, finals, firsts, kills, by_lab, limits, seen),
+        no_effect_twice(tries, finals, by_lab, kills, limits, seen),
+        drains_kept(box_rows, runner_rows, limits, seen),
+        cold_not_pushed(box_rows, runner_rows, limits, seen),
+        nothing_pinned(box_rows, by_name, by_lab, kills, limits, seen),
+    ]
     return {"rules": rules, "seen": dict(seen)}
 
 
@@ -143,8 +148,7 @@
         effect = limits.effect[model]
         if effect == "REPLAYABLE":
             continue
-        sends = sorted((r for r in rows if r["ev"] == "arrive" and r["stage"] in ("write", "direct")),
-                       key=lambda r: r["t"])
+        sends = sorted((r for r in rows if r["ev"] == "arrive" and r["stage"] in ("write", "direct")), key=lambda r: r["t"])
         ran = [r for r in rows if r["ev"] == "ran"]
         scope, window = limits.scope.get(model, "ALL"), limits.window_ms.get(model, 0)
         # Gateways share nothing: what a killed or drained one held is its client's to repeat, in time, and each life of
@@ -163,8 +167,9 @@
             return limits.place[r["box"]].get(scope.lower()) if scope != "ALL" else None
 
         for i, r in enumerate(sends):
-            before = [u for u in unsure if u["t"] < r["t"]
-                      and (not alone or gateway_of(u["name"])[1] == gateway_of(r["name"])[1])]
+            before = [
+                u for u in unsure if u["t"] < r["t"] and (not alone or gateway_of(u["name"])[1] == gateway_of(r["name"])[1])
+            ]
             if before and effect == "NON_REPLAYABLE":
                 rule.broken.append(f"{lab}: forward {r['name']} though {before[0]['name']} may have run")
             elif before and effect == "KEYED":
@@ -252,8 +257,9 @@
                 rule.cases += 1
             rule.worst = max(rule.worst, r["part"])
         elif r["ev"] == "fell":
-            window = [a for a in box_rows if a["ev"] == "arrive" and a["box"] == r["box"]
-                      and r["t"] - 1000 * MS <= a["t"] <= r["t"]]
+            window = [
+                a for a in box_rows if a["ev"] == "arrive" and a["box"] == r["box"] and r["t"] - 1000 * MS <= a["t"] <= r["t"]
+            ]
             after = [a for a in window if known is not None and a["t"] >= known + limits.poll_ms * MS]
             if len(after) * 3 >= len(window) * 2:
                 rule.broken.append(f"{r['box']} fell over: {r['sent']} sent, budget {r['budget']}")
--- a/lapiswing/lab/clients.py
+++ b/lapiswing/lab/clients.py
@@ -1,4 +1,5 @@
 """Clients of a day, on one loop: they speak the chat API, keep their own time, and record what they saw."""
+
 import orjson
 
 from wsproto import ConnectionType, WSConnection
@@ -24,8 +25,15 @@
         self.group = crowd.groups[plan.model]
         self.key = plan.id if self.group.effect == "KEYED" else None
         self.refused = 0
-        crowd.record.put("call", call=plan.id, model=plan.model, target_ms=plan.target_ms,
-                         importance=plan.importance, late=plan.late_importance, deadline_ms=plan.deadline_ms)
+        crowd.record.put(
+            "call",
+            call=plan.id,
+            model=plan.model,
+            target_ms=plan.target_ms,
+            importance=plan.importance,
+            late=plan.late_importance,
+            deadline_ms=plan.deadline_ms,
+        )
         self.go()
 
     def left_us(self):
@@ -79,17 +87,28 @@
         self.lab = plan.id if client.key else f"{plan.id}.{self.n}"
         self.text, self.ends, self.come_back_us = [], [], 0
         self.deadline_ms = min(client.left_us() // MS, client.group.deadline_ms)
-        self.body = {"model": plan.model, "messages": [{"role": r, "content": c} for r, c in plan.texts],
-                     "stream": plan.stream, "max_tokens": plan.tokens,
-                     "metadata": {"lab": self.lab, "answer_tokens": str(plan.tokens)}}
+        self.body = {
+            "model": plan.model,
+            "messages": [{"role": r, "content": c} for r, c in plan.texts],
+            "stream": plan.stream,
+            "max_tokens": plan.tokens,
+            "metadata": {"lab": self.lab, "answer_tokens": str(plan.tokens)},
+        }
         self.headers = {"x-request-timeout-ms": str(self.deadline_ms)}
         if client.key:
             self.headers["idempotency-key"] = client.key
         self.timer = None
 
     def sent(self, gateway, front):
-        self.put("try", gateway=gateway, lab=self.lab, deadline_ms=self.deadline_ms, key=self.client.key,
-                 model=self.plan.model, front=front)
+        self.put(
+            "try",
+            gateway=gateway,
+            lab=self.lab,
+            deadline_ms=self.deadline_ms,
+            key=self.client.key,
+            model=self.plan.model,
+            front=front,
+        )
         self.timer = self.crowd.loop.call_later(self.deadline_ms * MS, self.give_up)
         if self.plan.leave_ms is not None and self.n == 1:
             self.crowd.loop.call_later(round(self.plan.leave_ms * MS), self.leave)
@@ -132,8 +151,15 @@
         if how == "done":
             texts = [text_of(Message(role=r, content=c)) for r, c in self.plan.texts]
             fits = "".join(self.text) == answer_to(texts, self.plan.tokens)
-        self.put("final", how=how, status=self.status, fits=fits, come_back_us=self.come_back_us, begun=self.begun,
-                 tokens=len(self.text))
+        self.put(
+            "final",
+            how=how,
+            status=self.status,
+            fits=fits,
+            come_back_us=self.come_back_us,
+            begun=self.begun,
+            tokens=len(self.text),
+        )
         self.client.after(how, self.come_back_us)
 
 
@@ -141,12 +167,21 @@
     def __init__(self, client):
         super().__init__(client)
         self.events, self.parts = Events(1 << 20), []
-        fields = [(b"authorization", b"Bearer " + self.plan.tenant.encode()), (b"content-type", b"application/json"),
-                  *((k.encode(), v.encode()) for k, v in self.headers.items())]
+        fields = [
+            (b"authorization", b"Bearer " + self.plan.tenant.encode()),
+            (b"content-type", b"application/json"),
+            *((k.encode(), v.encode()) for k, v in self.headers.items()),
+        ]
         self.sent(client.gateway, "http")
         self.exchange = self.crowd.pool.request(
-            ("127.0.0.1", self.crowd.ports[client.gateway]), b"POST", b"/v1/chat/completions", fields,
-            orjson.dumps(self.body), self, fresh=True)
+            ("127.0.0.1", self.crowd.ports[client.gateway]),
+            b"POST",
+            b"/v1/chat/completions",
+            fields,
+            orjson.dumps(self.body),
+            self,
+            fresh=True,
+        )
 
     def cancel(self):
         self.exchange.cancel()
@@ -251,8 +286,16 @@
             return
         self.stream, stream.owner, self.parts = stream, self, []
         self.frames = WSConnection(ConnectionType.CLIENT)
-        stream.write(self.frames.send(Request(host="lab", target="/v1/chat/sessions", subprotocols=["lapiswing.chat.v1"],
-                                              extra_headers=[(b"authorization", b"Bearer demo")])))
+        stream.write(
+            self.frames.send(
+                Request(
+                    host="lab",
+                    target="/v1/chat/sessions",
+                    subprotocols=["lapiswing.chat.v1"],
+                    extra_headers=[(b"authorization", b"Bearer demo")],
+                )
+            )
+        )
 
     def say(self, **fields):
         self.stream.write(self.frames.send(TextMessage(orjson.dumps(fields).decode())))
--- a/lapiswing/lab/coldfleet.py
+++ b/lapiswing/lab/coldfleet.py
@@ -3,6 +3,7 @@
 A prefill server does `rate` reqs of mean work a second when warm; a start makes it `cold_from` of that, growing evenly over the
 ramp. What all Routers together send a cold one is held against what the settings allow it then, N reqs of mean work in
 the window, and for chance 2 x root of N + 2 (under 30 reqs 3 x root of N + 3)."""
+
 import heapq
 from itertools import count
 from math import sqrt
@@ -14,8 +15,14 @@
 from lapiswing.policy import Router
 
 MS, S = 1000, 1_000_000
-RULES = {"cold_from": 0.25, "ramp_time_us": 12 * S, "fall_multiple": 2.5, "answer_slack_us": 16 * MS,
-         "overload_for_us": S, "stop_sending_within_us": S}
+RULES = {
+    "cold_from": 0.25,
+    "ramp_time_us": 12 * S,
+    "fall_multiple": 2.5,
+    "answer_slack_us": 16 * MS,
+    "overload_for_us": S,
+    "stop_sending_within_us": S,
+}
 FEW = 30  # reqs in a window, under which chance counts for more
 START_US = 12 * S  # when servers start anew
 END_US = START_US + 15 * S
@@ -53,8 +60,9 @@
 
     def retract(self, rid, number):
         if self.fleet.out.pop((self.at, rid, number), None) is not None:
-            self.fleet.tell(0, self.at, ("outcome", rid, number, self.fleet.where[self.at, rid, number], "cancelled",
-                                         0, False, None, None))
+            self.fleet.tell(
+                0, self.at, ("outcome", rid, number, self.fleet.where[self.at, rid, number], "cancelled", 0, False, None, None)
+            )
 
     def timer(self, after_us, token):
         self.fleet.tell(after_us, self.at, ("timer", token))
@@ -71,6 +79,7 @@
 
 class Content(NamedTuple):
     """What a request asks, the same in its client's repeats."""
+
     work: float  # in requests of mean work
     conversation: str
     prefix: str
@@ -88,8 +97,12 @@
         self.now, self.events, self.order = 0, [], count()
         self.servers = [f"{role}{i}-{seed}" for role, n in case["kinds"].items() for i in range(n)]
         self.roles = {s: {"r": "read", "w": "write", "m": "both"}[s[0]] for s in self.servers}
-        self.cold = {s for role, part in case["cold"].items() for i, s in enumerate(
-            [s for s in self.servers if s[0] == role]) if i < round(part * case["kinds"][role])}
+        self.cold = {
+            s
+            for role, part in case["cold"].items()
+            for i, s in enumerate([s for s in self.servers if s[0] == role])
+            if i < round(part * case["kinds"][role])
+        }
         self.busy = dict.fromkeys(self.servers, 0.0)
         self.out, self.where, self.reqs = {}, {}, {}
         self.ended = set()  # reqs that were served
@@ -130,12 +143,28 @@
         case = self.case
         group = EndpointGroup("chat", "replayable", "all", 5 * S, S, 40 * MS, 60 * MS, 1.0, 0.3)
         kinds = [{"r": "read", "w": "write", "m": "both"}[k] for k in case["kinds"]]
-        self.routers[i] = Router(self.seeds[i], {
-            "balancers": case["gateways"], "az": 0, "me": i, "resolution_us": 4 * MS, "groups": [group], "tenants": [],
-            "membership_mode": "automatic", "rules": RULES, "penalties": {"cross_zone": 0.02},
-            "limits": {"max_attempts": 6, "retry_after": True, "max_retry_after_us": S, "cancel": True},
-            "family_info": {"duty_by_kind": kinds, "kind_memory_tokens": [10_000_000] * len(kinds), "far_price": 0.0,
-                            "let_go_by_us": 500 * MS}}, self.now)
+        self.routers[i] = Router(
+            self.seeds[i],
+            {
+                "balancers": case["gateways"],
+                "az": 0,
+                "me": i,
+                "resolution_us": 4 * MS,
+                "groups": [group],
+                "tenants": [],
+                "membership_mode": "automatic",
+                "rules": RULES,
+                "penalties": {"cross_zone": 0.02},
+                "limits": {"max_attempts": 6, "retry_after": True, "max_retry_after_us": S, "cancel": True},
+                "family_info": {
+                    "duty_by_kind": kinds,
+                    "kind_memory_tokens": [10_000_000] * len(kinds),
+                    "far_price": 0.0,
+                    "let_go_by_us": 500 * MS,
+                },
+            },
+            self.now,
+        )
         self.routers[i].round(self.now, [("servers", "restored", self.rows(anew))], self.sinks[i])
 
     def level(self, at_us):
@@ -152,8 +181,24 @@
         tokens = max(20, int(1000 * content.work))
         self.reqs[gateway, rid] = (content, again is not None)
         self.taken += again is None
-        self.tell(0, gateway, ("req", rid, tokens, self.now + 4 * S, content.conversation, content.prefix, tokens // 4, 200, None,
-                                2 if again is not None and self.case["marks"] else 0, 0, 0))
+        self.tell(
+            0,
+            gateway,
+            (
+                "req",
+                rid,
+                tokens,
+                self.now + 4 * S,
+                content.conversation,
+                content.prefix,
+                tokens // 4,
+                200,
+                None,
+                2 if again is not None and self.case["marks"] else 0,
+                0,
+                0,
+            ),
+        )
 
     def prefix(self):
         return "hot" if self.chance.random() < self.case["hot"] else f"p{self.chance.integers(40)}"
@@ -202,8 +247,10 @@
             elif i not in self.late:
                 self.tell(0, i, ("servers", "update", [r for r in self.rows(self.cold) if r.id in self.cold]))
             else:
-                self.push(self.now + 1500 * MS, ("tell", i, ("servers", "update", [
-                    r for r in self.rows(self.cold) if r.id in self.cold])))
+                self.push(
+                    self.now + 1500 * MS,
+                    ("tell", i, ("servers", "update", [r for r in self.rows(self.cold) if r.id in self.cold])),
+                )
 
     def play(self):
         while self.events and self.events[0][0] < END_US:
@@ -223,8 +270,10 @@
         window, most = RULES["overload_for_us"], (0.0, None, 0.0, 0.0)
         for server in sorted(self.cold):
             sent = [(at, work) for at, s, work, told in self.arrivals if s == server and told and at >= START_US]
-            part, work, n = heaviest(sent, lambda at, server=server: RULES["fall_multiple"] * self.rate[server] * window / S
-                                     * self.level(at - window / 2))
+            part, work, n = heaviest(
+                sent,
+                lambda at, server=server: RULES["fall_multiple"] * self.rate[server] * window / S * self.level(at - window / 2),
+            )
             most = max(most, (part, server, work, n)) if sent else most
         return most
 
@@ -251,12 +300,24 @@
 
     def one(*of):
         return of[int(chance.integers(len(of)))]
+
     gateways = one(3, 20, 30, 200)
     kinds = one({"r": 8, "w": 4}, {"r": 4, "w": 8}, {"r": 5, "w": 5, "m": 4})
     cold = one({"r": 0.25}, {"r": 0.75}, {"r": 1.0}, {"w": 0.5}, {"w": 1.0}, {"r": 0.5, "w": 0.5})
     if "m" in kinds:
         cold = one({"m": 1.0}, {"r": 0.6, "m": 0.5}, {"m": 0.5, "w": 0.6})
-    return {"gateways": gateways, "rate": one(4, 10, 25) if gateways != 200 else one(4, 10),
-            "load": one(0.4, 0.7, 0.9), "skew": one(1, 3, 6), "burst": one(1.0, 1.5, 2.5),
-            "fresh": one(0.0, 0.0, 0.3, 0.7), "late": one(0.0, 0.0, 0.3), "cold": cold, "hot": one(0.0, 0.2, 0.6),
-            "failing": one(0.0, 0.0, 0.1, 0.3), "retries": one(False, True), "kinds": kinds, "marks": one(True, True, False)}
+    return {
+        "gateways": gateways,
+        "rate": one(4, 10, 25) if gateways != 200 else one(4, 10),
+        "load": one(0.4, 0.7, 0.9),
+        "skew": one(1, 3, 6),
+        "burst": one(1.0, 1.5, 2.5),
+        "fresh": one(0.0, 0.0, 0.3, 0.7),
+        "late": one(0.0, 0.0, 0.3),
+        "cold": cold,
+        "hot": one(0.0, 0.2, 0.6),
+        "failing": one(0.0, 0.0, 0.1, 0.3),
+        "retries": one(False, True),
+        "kinds": kinds,
+        "marks": one(True, True, False),
+    }
--- a/lapiswing/lab/doubles.py
+++ b/lapiswing/lab/doubles.py
@@ -1,5 +1,6 @@
 """Test doubles of the Router: two baselines to measure against, and gateways broken on purpose, one for each rule, that
 the auditor must find out. None of them is ever part of the product."""
+
 from zlib import crc32
 
 from lapiswing.policy import Router
@@ -35,8 +36,16 @@
         return crc32(b"%d/%d" % (self.seed, self.draws)) / 4294967296.0
 
     def on_req(self, rid, tokens, expires, session, prefix, prefix_tokens, _out, _hint, _bits, tenant, group):
-        self.reqs[rid] = {"group": group, "expires": expires, "sent": 0, "out": 0, "held": False, "ran": [],
-                          "closed": False, "begun": False}
+        self.reqs[rid] = {
+            "group": group,
+            "expires": expires,
+            "sent": 0,
+            "out": 0,
+            "held": False,
+            "ran": [],
+            "closed": False,
+            "begun": False,
+        }
         self.step(rid, "read")
 
     def zone_of(self, server):
@@ -48,8 +57,12 @@
             return servers
         if g.effect == "non-replayable":
             return []
-        return [s for s in servers if self.now - req["ran"][0][1] < g.repeat_window_us - 100_000
-                and (g.repeat_scope == "all" or self.zone_of(s) == self.zone_of(req["ran"][0][0]))]
+        return [
+            s
+            for s in servers
+            if self.now - req["ran"][0][1] < g.repeat_window_us - 100_000
+            and (g.repeat_scope == "all" or self.zone_of(s) == self.zone_of(req["ran"][0][0]))
+        ]
 
     def step(self, rid, stage):
         req = self.reqs[rid]
@@ -122,6 +135,7 @@
 
 class Loses(Router):
     """Breaks rule 1: forgets to answer what it gives up. The host's backstop would still answer, so it runs without."""
+
     without_backstop = True
 
     def give_up(self, req, come_back_us=0):
@@ -167,6 +181,14 @@
             self.step(rid, "write")
 
 
-ROUTERS = {"module": Router, "random": Random, "round-robin": RoundRobin, "loses": Loses, "doubles": Doubles,
-           "deaf": Deaf, "rushes": Rushes, "pins": Pins}
+ROUTERS = {
+    "module": Router,
+    "random": Random,
+    "round-robin": RoundRobin,
+    "loses": Loses,
+    "doubles": Doubles,
+    "deaf": Deaf,
+    "rushes": Rushes,
+    "pins": Pins,
+}
 BASELINES = ("random", "round-robin")
--- a/lapiswing/lab/fleetdays.py
+++ b/lapiswing/lab/fleetdays.py
@@ -4,6 +4,7 @@
 fails is played again by the same call.
 
     play(seed)  -> Day; `day.faults` are the invariants that did not hold, in words"""
+
 import copy
 from typing import NamedTuple
 
@@ -75,8 +76,7 @@
         net = self.fleet.net
         net.loss, net.twice, net.flip = (float(x) for x in self.rng.random(3) * (0.3, 0.2, 0.05))
         net.delay = (200, int(2000 + self.rng.random() * 300_000))
-        self.say(f"loss {net.loss:.2f}, twice {net.twice:.2f}, flip {net.flip:.2f}, "
-                 f"delay to {net.delay[1] // S} ms")
+        self.say(f"loss {net.loss:.2f}, twice {net.twice:.2f}, flip {net.flip:.2f}, delay to {net.delay[1] // S} ms")
 
     def good_links(self):
         net = self.fleet.net
@@ -118,17 +118,24 @@
         fleet = self.fleet
         fleet.start_all(1000)
         fleet.run(4 * S)
-        acts = [(0.60, self.write), (0.06, self.cut), (0.08, self.heal), (0.04, self.bad_links),
-                (0.05, self.good_links), (0.05, self.stop), (0.05, self.kill), (0.05, self.start),
-                (0.02, self.keep_a_disk)]
+        acts = [
+            (0.60, self.write),
+            (0.06, self.cut),
+            (0.08, self.heal),
+            (0.04, self.bad_links),
+            (0.05, self.good_links),
+            (0.05, self.stop),
+            (0.05, self.kill),
+            (0.05, self.start),
+            (0.02, self.keep_a_disk),
+        ]
         ends = np.cumsum([part for part, _ in acts])
         end = fleet.now + LENGTH_S * S * S
         while fleet.now < end:
             fleet.run(int(self.rng.exponential(120)) + 1)
             acts[min(int(np.searchsorted(ends, self.rng.random() * ends[-1])), len(acts) - 1)][1]()
         self.end()
-        return Day(self.seed, self.faults, self.told, len(self.seen), sum(
-            n.link.counts["identities"] for n in fleet.up()))
+        return Day(self.seed, self.faults, self.told, len(self.seen), sum(n.link.counts["identities"] for n in fleet.up()))
 
     def end(self):
         """All is well again: everybody is back, and then everybody knows everything."""
@@ -142,17 +149,27 @@
 
         def well():
             return fleet.all_alive() and all(n.link.may_write() for n in fleet.up())
+
         if fleet.run(CALM_S * S, well) is None:
-            self.faults.append("they did not find each other, or some may not write: " + ", ".join(
-                f"gw-{n.index} sees {len(n.link.members.alive())}"
-                f"{'' if n.link.may_write() else ', may not write'}"
-                for n in fleet.up()))
+            self.faults.append(
+                "they did not find each other, or some may not write: "
+                + ", ".join(
+                    f"gw-{n.index} sees {len(n.link.members.alive())}{'' if n.link.may_write() else ', may not write'}"
+                    for n in fleet.up()
+                )
+            )
         if fleet.run(CALM_S * S, fleet.same_rows) is None:
             self.faults.append("rows differ at the end")
         for node in fleet.up():
             link = node.link
-            newest = max((version for (writer, _, version), values in self.seen.items()
-                          if writer == link.id and any(map(self.many, values.values()))), default=0)
+            newest = max(
+                (
+                    version
+                    for (writer, _, version), values in self.seen.items()
+                    if writer == link.id and any(map(self.many, values.values()))
+                ),
+                default=0,
+            )
             if newest > link.rows.version:
                 self.faults.append(f"gw-{node.index} goes on as {link.id}, behind what a majority has seen")
 
--- a/lapiswing/lab/fleetsim.py
+++ b/lapiswing/lab/fleetsim.py
@@ -5,6 +5,7 @@
     sim.net.loss = 0.3; sim.cut({0, 1}, {2, 3}); sim.kill(4); sim.stop(5, 2000); sim.start(4)
 
 Every member's disk is a dict that a fault may empty or roll back. Nothing here knows the wall clock."""
+
 import heapq
 from itertools import count
 
@@ -65,12 +66,20 @@
             node.disk = {"life": None, "rows": {}}
         rng = np.random.default_rng([self.seed, 3, i, next(self.starts)])
         node.link = link = Link(
-            f"gw-{i}", self.address(i), self.seeds, [KEY], rng.random, rng.bytes(16),
-            lambda address, data, node=node: self.send(node, address, data), self.now, life=node.disk["life"],
+            f"gw-{i}",
+            self.address(i),
+            self.seeds,
+            [KEY],
+            rng.random,
+            rng.bytes(16),
+            lambda address, data, node=node: self.send(node, address, data),
+            self.now,
+            life=node.disk["life"],
             figures=self.figures,
             on_log=lambda event, **figures: node.events.append((self.now, event, figures)),
             on_row=lambda row, raw, node=node: self.on_row(node, row, raw),
-            on_identity=lambda old, new: self.keep_identity(node))
+            on_identity=lambda old, new: self.keep_identity(node),
+        )
         self.keep_identity(node)
         link.restore(node.disk["rows"].values())
         self.at(int(rng.random() * TICK_US), self.tick, node, node.epoch)
--- a/lapiswing/lab/gateway.py
+++ b/lapiswing/lab/gateway.py
@@ -1,4 +1,5 @@
 """python -m lapiswing.lab.gateway ROUTER SETTINGS: a gateway with a test double in the module's place."""
+
 import sys
 from pathlib import Path
 
@@ -11,8 +12,9 @@
 if __name__ == "__main__":
     settings = read_settings(sys.argv[2], load_text)
     router = ROUTERS[sys.argv[1]]
-    gateway = Gateway(settings, start_logs(settings.log.level, settings.log.format), base=str(Path(sys.argv[2]).parent),
-                      router=router)
+    gateway = Gateway(
+        settings, start_logs(settings.log.level, settings.log.format), base=str(Path(sys.argv[2]).parent), router=router
+    )
     gateway.core.guards.only_counts = True  # the auditor has to see what the double does
     if getattr(router, "without_backstop", False):
         gateway.core.too_late = lambda req: None
--- a/lapiswing/lab/plan.py
+++ b/lapiswing/lab/plan.py
@@ -1,10 +1,12 @@
 """What a day is: boxes, settings, faults, lists, gateways' fates and clients' calls. Pure data."""
+
 from dataclasses import dataclass, field
 
 
 @dataclass
 class CallPlan:
     """One thing that a client wants. `leave_ms` after sending it goes away (and, with `again`, asks anew at once)."""
+
     id: str
     at_ms: float
     gateway: int
@@ -79,22 +81,29 @@
 
 def settings_text(day, index, port, nameserver=0):
     """The settings file of one gateway of the day."""
-    lines = [f'gateway {{ name: "lab" index: {index} gateways: {day.gateways} drain_limit_ms: 3000',
-             f'          zone: "{day.zones[index % len(day.zones)]}" seed: {day.seed * 1000 + index + 1} }}',
-             f'listen {{ port: {port} }}', *([f'dns {{ server: "127.0.0.1:{nameserver}" service: "{SERVICE}" gone_ms: 1500 '
-                                             f'doubt_ms: {day.doubt_ms} }}'] if day.records is not None else
-                                            ['boxes_file: "boxes.txtpb"', "boxes_poll_ms: 100"]),
-             f"limits {{ margin_ms: {day.margin_ms} max_forwards: {day.max_forwards} "
-             f"max_come_back_ms: {day.max_come_back_ms} }}",
-             f"rules {{ drain_grace_ms: {day.grace_ms} cold_from: {day.cold_from} ramp_ms: {day.ramp_ms} "
-             f"fall_multiple: {day.fall_multiple} overload_ms: {day.overload_ms} let_go_ms: {day.let_go_ms} }}",
-             'log { level: "info" format: "json" }', f'admin {{ path: "gateway{index}.sock" }}', 'tenant { name: "demo" api_key: "demo" }']
+    lines = [
+        f'gateway {{ name: "lab" index: {index} gateways: {day.gateways} drain_limit_ms: 3000',
+        f'          zone: "{day.zones[index % len(day.zones)]}" seed: {day.seed * 1000 + index + 1} }}',
+        f"listen {{ port: {port} }}",
+        *(
+            [f'dns {{ server: "127.0.0.1:{nameserver}" service: "{SERVICE}" gone_ms: 1500 doubt_ms: {day.doubt_ms} }}']
+            if day.records is not None
+            else ['boxes_file: "boxes.txtpb"', "boxes_poll_ms: 100"]
+        ),
+        f"limits {{ margin_ms: {day.margin_ms} max_forwards: {day.max_forwards} max_come_back_ms: {day.max_come_back_ms} }}",
+        f"rules {{ drain_grace_ms: {day.grace_ms} cold_from: {day.cold_from} ramp_ms: {day.ramp_ms} "
+        f"fall_multiple: {day.fall_multiple} overload_ms: {day.overload_ms} let_go_ms: {day.let_go_ms} }}",
+        'log { level: "info" format: "json" }',
+        f'admin {{ path: "gateway{index}.sock" }}',
+        'tenant { name: "demo" api_key: "demo" }',
+    ]
     for g in day.groups:
         lines.append(
             f'group {{ name: "{g.name}" model: "{g.name}" effect: {g.effect} repeat_scope: {g.scope} '
             f"repeat_window_ms: {g.window_ms} target_ms: {g.target_ms} target_per_1000_ms: {g.target_per_1000_ms} "
             f"token_target_ms: {g.token_target_ms} deadline_ms: {g.deadline_ms} importance: {g.importance} "
-            f"late_importance: {g.late_importance} resume: {str(g.resume).lower()} stream_idle_ms: 1500 }}")
+            f"late_importance: {g.late_importance} resume: {str(g.resume).lower()} stream_idle_ms: 1500 }}"
+        )
     for role, kind in KINDS.items():
         memory = day.read_memory if role == "read" else day.write_memory
         lines.append(f'kind {{ name: "{kind}" role: {role.upper()} memory_tokens: {memory} }}')
@@ -105,5 +114,7 @@
     """The boxes' file: `modes` by box id (left out: not listed), `started` Unix ms by box id."""
     return "".join(
         f'box {{ id: "{b["id"]}" kind: "{KINDS[b["role"]]}" zone: "{b["zone"]}" cell: "{b["cell"]}" '
-        f'mode: {modes[b["id"]].upper()} started_ms: {started.get(b["id"], 0)} }}\n'
-        for b in day.boxes if modes.get(b["id"], "gone") != "gone")
+        f"mode: {modes[b['id']].upper()} started_ms: {started.get(b['id'], 0)} }}\n"
+        for b in day.boxes
+        if modes.get(b["id"], "gone") != "gone"
+    )
--- a/lapiswing/lab/play.py
+++ b/lapiswing/lab/play.py
@@ -1,4 +1,5 @@
 """One day in a worker process."""
+
 import shutil
 from pathlib import Path
 
--- a/lapiswing/lab/replay.py
+++ b/lapiswing/lab/replay.py
@@ -3,6 +3,7 @@
 Mapped: boxes (roles, speeds, slots, queues, memory, links, cells and zones), gateways and their zones, endpoint groups,
 traffic as drawn anew from the day's own figures, clients' patience, retries and manners, the list's delays, and each
 kind of trouble below. What can't be mapped is named in `notes` and printed with the result."""
+
 from math import exp, log
 from random import Random
 
@@ -20,6 +21,7 @@
 
 class ReplayError(OperatorError):
     """A file that is not a bench day, or one that no stand-in can play."""
+
     exit_code = 2
     advice = "Give a two-stage day as the operators' bench keeps it (JSON)."
 
@@ -55,32 +57,63 @@
         self.make_boxes()
         self.zones = [raw["zones"][b["zone"]] for b in raw["balancers"]]
         self.rate = self.capacity() * raw["traffic"]["load"]
-        groups = [Group(c["name"], EFFECTS[c["effect"]], c["group"].upper(), round(self.ms(c["window"])),
-                        round(self.ms(c["aim"])), round(t["aim_ms_per_k"] / self.speed),
-                        round(t["token_ms"] / self.speed), round(self.ms(c["deadline"])), c["worth"], c["late_worth"],
-                        bool(self.fam["resume"]) and c["effect"] == "safe")
-                  for c, t in zip(raw["classes"], self.fam["talks"])]
+        groups = [
+            Group(
+                c["name"],
+                EFFECTS[c["effect"]],
+                c["group"].upper(),
+                round(self.ms(c["window"])),
+                round(self.ms(c["aim"])),
+                round(t["aim_ms_per_k"] / self.speed),
+                round(t["token_ms"] / self.speed),
+                round(self.ms(c["deadline"])),
+                c["worth"],
+                c["late_worth"],
+                bool(self.fam["resume"]) and c["effect"] == "safe",
+            )
+            for c, t in zip(raw["classes"], self.fam["talks"])
+        ]
         plans = self.calls(groups)
         for trouble in raw["troubles"]:
             self.trouble(trouble)
         kinds, roles = self.kinds, self.fam["roles"]
-        memory = {role: min((e["memory"] for e, r in zip(self.fam["engines"], roles) if r == role), default=100000)
-                  for role in ROLES}
+        memory = {
+            role: min((e["memory"] for e, r in zip(self.fam["engines"], roles) if r == role), default=100000) for role in ROLES
+        }
         for name, why in (("cpu", "the gateways' CPU is real here"), ("jitter", "network delays are loopback's")):
             self.notes.append(f"{name}: {why}")
         if raw["tenants"]:
             self.notes.append("tenants: all traffic is one tenant's; shares and quotas are not scored")
         if self.speed != 1:
-            self.notes.append(f"speed {self.speed:g}: the module's own times (its refresh, its patience with silence) don't scale")
+            self.notes.append(
+                f"speed {self.speed:g}: the module's own times (its refresh, its patience with silence) don't scale"
+            )
         tier = raw["tiers"][0]
-        return Day(f"replay {raw['site']} {raw['kind'].replace('/', '-')}", self.seed, self.boxes, groups, plans, self.length_ms,
-                   script=self.script, lists=sorted(self.lists), fates=sorted(self.fates),
-                   gateways=len(raw["balancers"]), zones=self.zones, grace_ms=round(self.ms(raw["drain_grace"])),
-                   let_go_ms=round(self.ms(self.fam["release"])), cold_from=tier["stated_cold_from"],
-                   ramp_ms=round(self.ms(tier["stated_cold"])), fall_multiple=raw["fall_multiple"],
-                   overload_ms=round(self.ms(raw["fall_for"])), max_forwards=raw["allow"]["max_attempts"],
-                   max_come_back_ms=round(self.ms(raw["clients"]["max_retry_after"])), read_memory=memory["read"],
-                   write_memory=memory["write"], wants=["final done"], notes=self.notes)
+        return Day(
+            f"replay {raw['site']} {raw['kind'].replace('/', '-')}",
+            self.seed,
+            self.boxes,
+            groups,
+            plans,
+            self.length_ms,
+            script=self.script,
+            lists=sorted(self.lists),
+            fates=sorted(self.fates),
+            gateways=len(raw["balancers"]),
+            zones=self.zones,
+            grace_ms=round(self.ms(raw["drain_grace"])),
+            let_go_ms=round(self.ms(self.fam["release"])),
+            cold_from=tier["stated_cold_from"],
+            ramp_ms=round(self.ms(tier["stated_cold"])),
+            fall_multiple=raw["fall_multiple"],
+            overload_ms=round(self.ms(raw["fall_for"])),
+            max_forwards=raw["allow"]["max_attempts"],
+            max_come_back_ms=round(self.ms(raw["clients"]["max_retry_after"])),
+            read_memory=memory["read"],
+            write_memory=memory["write"],
+            wants=["final done"],
+            notes=self.notes,
+        )
 
     def chosen(self):
         """Which servers are played: all, or a part with at least one reader and one writer."""
@@ -90,7 +123,7 @@
         out = []
         for kind in sorted({s["kind"] for _, s in rows}):
             mine = [r for r in rows if r[1]["kind"] == kind]
-            out += mine[:max(1, round(len(mine) * self.scale))]
+            out += mine[: max(1, round(len(mine) * self.scale))]
         self.notes.append(f"scale {self.scale:g}: {len(out)} of {len(rows)} boxes, traffic by their capacity")
         return sorted(out)
 
@@ -99,14 +132,28 @@
         for i, s in self.servers:
             engine, kind, role = self.fam["engines"][s["kind"]], self.kinds[s["kind"]], self.fam["roles"][s["kind"]]
             speed = s["speed"] * self.speed
-            box = {"id": f"s{i}", "role": role, "zone": self.raw["zones"][s["zone"]], "cell": f"c{s['cell']}",
-                   "read_per_s": engine["read_per_s"] * speed, "read_queue": engine["slots"] + engine["queue"],
-                   "slots": engine["slots"], "queue": engine["queue"], "memory": engine["memory"],
-                   "kept": engine["memory"], "step_ms": engine["step_ms"] / speed,
-                   "per_stream_ms": engine["per_seq_ms"] / speed, "near_per_s": self.fam["near"] * self.speed,
-                   "far_times": max(1.0, self.fam["near"] / self.fam["far"] / 2), "cold_from": kind["cold_from"],
-                   "ramp_ms": self.ms(kind["cold"]), "fall_multiple": self.raw["fall_multiple"],
-                   "overload_ms": self.ms(self.raw["fall_for"]), "up": s["up"], "listed": s["up"]}
+            box = {
+                "id": f"s{i}",
+                "role": role,
+                "zone": self.raw["zones"][s["zone"]],
+                "cell": f"c{s['cell']}",
+                "read_per_s": engine["read_per_s"] * speed,
+                "read_queue": engine["slots"] + engine["queue"],
+                "slots": engine["slots"],
+                "queue": engine["queue"],
+                "memory": engine["memory"],
+                "kept": engine["memory"],
+                "step_ms": engine["step_ms"] / speed,
+                "per_stream_ms": engine["per_seq_ms"] / speed,
+                "near_per_s": self.fam["near"] * self.speed,
+                "far_times": max(1.0, self.fam["near"] / self.fam["far"] / 2),
+                "cold_from": kind["cold_from"],
+                "ramp_ms": self.ms(kind["cold"]),
+                "fall_multiple": self.raw["fall_multiple"],
+                "overload_ms": self.ms(self.raw["fall_for"]),
+                "up": s["up"],
+                "listed": s["up"],
+            }
             self.boxes.append(box)
             self.by_index[i] = box
         for box in self.boxes:
@@ -118,9 +165,11 @@
 
     def prompt(self):
         """Mean prompt tokens: what is shared, and all turns so far."""
-        return (self.mean("prefix_share") * self.mean("prefix_tokens")
-                + self.mean("new_tokens") * (self.mean("turns") + 1) / 2
-                + self.mean("out_tokens") * (self.mean("turns") - 1) / 2)
+        return (
+            self.mean("prefix_share") * self.mean("prefix_tokens")
+            + self.mean("new_tokens") * (self.mean("turns") + 1) / 2
+            + self.mean("out_tokens") * (self.mean("turns") - 1) / 2
+        )
 
     def rate_of(self, box):
         """Reqs a second of this box when warm: an estimate from the day's means."""
@@ -149,8 +198,7 @@
         return mean * exp(self.rng.gauss(-sigma * sigma / 2, sigma))
 
     def within(self, kind, at_ms):
-        return [t for t in self.raw["troubles"] if t["kind"] == kind
-                and self.ms(t["at"]) <= at_ms < self.ms(t["at"] + t["len"])]
+        return [t for t in self.raw["troubles"] if t["kind"] == kind and self.ms(t["at"]) <= at_ms < self.ms(t["at"] + t["len"])]
 
     def calls(self, groups):
         raw, clients, rng = self.raw, self.raw["clients"], self.rng
@@ -175,8 +223,9 @@
                 key = (trouble["at"], rng.randrange(max(1, int(trouble["extra"]))))
                 texts.append(("system", hot.setdefault(key, self.text(self.fam["hot_tokens"]))))
             elif rng.random() < talk["prefix_share"]:
-                texts.append(("system", rng.choices(prefixes[k], [
-                    (i + 1) ** -talk["prefix_zipf"] for i in range(len(prefixes[k]))])[0]))
+                texts.append(
+                    ("system", rng.choices(prefixes[k], [(i + 1) ** -talk["prefix_zipf"] for i in range(len(prefixes[k]))])[0])
+                )
             zone = rng.choices(range(len(by_zone)), raw["traffic"]["zone_share"])[0]
             gateway = rng.choice(by_zone[zone] or range(len(raw["balancers"])))
             when = at
@@ -192,10 +241,20 @@
                 size = sum(len(c) for _, c in texts) // BYTES
                 made = max(2, min(talk["max_out"], round(self.drawn(talk["out_tokens"], talk["out_sigma"]))))
                 deadline = group.deadline_ms + 2 * group.target_per_1000_ms * size / 1000
-                plan = CallPlan(f"c{len(out)}", when, gateway, group.name, texts, made, round(deadline),
-                                retries=int(clients["retries"]), honour=rng.random() < clients["honour"],
-                                target_ms=group.target_ms + group.target_per_1000_ms * size / 1000,
-                                importance=group.importance, late_importance=group.late_importance)
+                plan = CallPlan(
+                    f"c{len(out)}",
+                    when,
+                    gateway,
+                    group.name,
+                    texts,
+                    made,
+                    round(deadline),
+                    retries=int(clients["retries"]),
+                    honour=rng.random() < clients["honour"],
+                    target_ms=group.target_ms + group.target_per_1000_ms * size / 1000,
+                    importance=group.importance,
+                    late_importance=group.late_importance,
+                )
                 if raw["traffic"]["worth_by_work"]:
                     plan.importance *= (size / 4 + made * 10) / (self.prompt() / 4 + self.mean("out_tokens") * 10)
                 if rng.random() < clients["impatient"]:
--- a/lapiswing/lab/run.py
+++ b/lapiswing/lab/run.py
@@ -1,4 +1,5 @@
 """Plays a day: gateways and boxes as processes of their own, clients in this one, all on loopback."""
+
 import os
 import signal
 import subprocess
@@ -26,6 +27,7 @@
 
 class DayFailed(OperatorError):
     """The day could not be played; it says nothing about the rules."""
+
     advice = "Look at the named logs, then play the day again, with fewer `--jobs` where the machine is busy."
 
 
@@ -63,7 +65,7 @@
         """-> result dict. All processes are ended whatever happens."""
         day = self.day
         ports = Ports(day.gateways + len(day.boxes)).found
-        self.ports, names = ports[:day.gateways], ports[day.gateways:]
+        self.ports, names = ports[: day.gateways], ports[day.gateways :]
         renamed = {b["id"]: f"127.0.0.1:{p}" for b, p in zip(day.boxes, names)}
         day = self.day = rename(day, renamed)
         self.modes = {b["id"]: "ready" if b.get("listed", True) else "gone" for b in day.boxes}
@@ -91,8 +93,10 @@
             for at_ms, gateway, what in day.fates:
                 self.loop.call_at(self.t0 + round(at_ms * MS), self.fate, gateway, what)
             end = self.t0 + round((day.length_ms + 20000) * MS)
-            self.loop.run_until(lambda: (crowd.running <= 0 and self.loop.now > self.t0 + day.length_ms * MS)
-                                or self.loop.now > end, round((day.length_ms + 30000) * MS))
+            self.loop.run_until(
+                lambda: (crowd.running <= 0 and self.loop.now > self.t0 + day.length_ms * MS) or self.loop.now > end,
+                round((day.length_ms + 30000) * MS),
+            )
             left = crowd.running
             settle = self.loop.clock.now_us() + SETTLE_MS * MS
             self.loop.run_until(lambda: self.loop.now > settle, 2 * SETTLE_MS * MS)
@@ -105,9 +109,14 @@
 
     def start_fleet(self):
         day = self.day
-        value = {"seed": day.seed, "record": str(self.folder / "boxes.jsonl"), "t0_us": self.t0, "boxes": day.boxes,
-                 "script": day.script, "models": {g.name: {"scope": g.scope.lower(), "window_ms": g.window_ms}
-                                                  for g in day.groups}}
+        value = {
+            "seed": day.seed,
+            "record": str(self.folder / "boxes.jsonl"),
+            "t0_us": self.t0,
+            "boxes": day.boxes,
+            "script": day.script,
+            "models": {g.name: {"scope": g.scope.lower(), "window_ms": g.window_ms} for g in day.groups},
+        }
         path = self.folder / "fleet.json"
         path.write_bytes(orjson.dumps(value))
         self.fleet = self.spawn("fleet", ["standin", str(path)], stdout=subprocess.PIPE)
@@ -117,15 +126,13 @@
     def spawn(self, name, args, stdout=subprocess.DEVNULL, module="lapiswing"):
         log = open(self.folder / f"{name}.log", "ab")
         try:
-            return subprocess.Popen([sys.executable, "-m", module, *args], stdout=stdout, stderr=log,
-                                    start_new_session=True)
+            return subprocess.Popen([sys.executable, "-m", module, *args], stdout=stdout, stderr=log, start_new_session=True)
         finally:
             log.close()
 
     def start_gateway(self, i):
         path = self.folder / f"gateway{i}.txtpb"
-        path.write_text(settings_text(
-            self.day, i, self.ports[i], self.names.address[1] if self.names else 0))
+        path.write_text(settings_text(self.day, i, self.ports[i], self.names.address[1] if self.names else 0))
         if self.router == "module":
             self.gateways[i] = self.spawn(f"gateway{i}", ["serve", str(path)])
         else:
@@ -134,6 +141,7 @@
 
     def wait_for_gateways(self):
         import socket
+
         end = time.monotonic() + 10
         for i, port in enumerate(self.ports):
             while True:
@@ -168,8 +176,18 @@
             if self.started.get(name):
                 more["gen"] = self.started[name]
             host, _, port = name.rpartition(":")
-            self.names.box(SERVICE, f"box{i}", f"h{i}.lab.example.", host, int(port), ttl=1, kind=KINDS[b["role"]], zone=b["zone"],
-                           cell=b["cell"], **more)
+            self.names.box(
+                SERVICE,
+                f"box{i}",
+                f"h{i}.lab.example.",
+                host,
+                int(port),
+                ttl=1,
+                kind=KINDS[b["role"]],
+                zone=b["zone"],
+                cell=b["cell"],
+                **more,
+            )
 
     def write_boxes(self):
         if self.names is not None:
@@ -234,18 +252,44 @@
         clients = [r for r in self.record.rows if "call" in r]
         runner = [r for r in self.record.rows if "call" not in r]
         (self.folder / "clients.jsonl").write_bytes(b"".join(orjson.dumps(r) + b"\n" for r in self.record.rows))
-        limits = Limits(day.grace_ms, day.let_go_ms, window_ms={g.name: g.window_ms for g in day.groups},
-                        scope={g.name: g.scope for g in day.groups}, effect={g.name: g.effect for g in day.groups},
-                        # records with lifetimes of a second are asked for again after 0.8 s, in looks of 0.2 s
-                        poll_ms=1500 if day.records is not None else 150, place={b["id"]: {"zone": b["zone"], "cell": b["cell"]} for b in day.boxes})
+        limits = Limits(
+            day.grace_ms,
+            day.let_go_ms,
+            window_ms={g.name: g.window_ms for g in day.groups},
+            scope={g.name: g.scope for g in day.groups},
+            effect={g.name: g.effect for g in day.groups},
+            # records with lifetimes of a second are asked for again after 0.8 s, in looks of 0.2 s
+            poll_ms=1500 if day.records is not None else 150,
+            place={b["id"]: {"zone": b["zone"], "cell": b["cell"]} for b in day.boxes},
+        )
         found = audit(clients, boxes, runner, limits)
         figure, counts = service(clients)
         missing = [w for w in day.wants if not found["seen"].get(w)]
-        return {"day": day.name, "seed": day.seed, "router": self.router, "service": round(figure, 4), "calls": counts,
-                "rules": [{"rule": r.name, "cases": r.cases, "worst": round(r.worst, 3), "limit": r.limit,
-                           "unit": r.unit, "broken": r.broken} for r in found["rules"]],
-                "seen": found["seen"], "missing": missing, "died": self.died, "unended": left,
-                "notes": day.notes, "folder": str(self.folder), "findings": self.findings()}
+        return {
+            "day": day.name,
+            "seed": day.seed,
+            "router": self.router,
+            "service": round(figure, 4),
+            "calls": counts,
+            "rules": [
+                {
+                    "rule": r.name,
+                    "cases": r.cases,
+                    "worst": round(r.worst, 3),
+                    "limit": r.limit,
+                    "unit": r.unit,
+                    "broken": r.broken,
+                }
+                for r in found["rules"]
+            ],
+            "seen": found["seen"],
+            "missing": missing,
+            "died": self.died,
+            "unended": left,
+            "notes": day.notes,
+            "folder": str(self.folder),
+            "findings": self.findings(),
+        }
 
     def findings(self):
         """What the gateways' diagnosis said, in ms of the day."""
@@ -256,18 +300,30 @@
                     continue
                 row = orjson.loads(line)
                 unix_us = datetime.fromisoformat(row["timestamp"]).timestamp() * 1e6
-                out.append({"gateway": i, "ms": round((unix_us - self.unix_offset_us - self.t0) / MS), "what": row["what"],
-                            "kind": row["kind"], "subject": row.get("subject", "")})
+                out.append(
+                    {
+                        "gateway": i,
+                        "ms": round((unix_us - self.unix_offset_us - self.t0) / MS),
+                        "what": row["what"],
+                        "kind": row["kind"],
+                        "subject": row.get("subject", ""),
+                    }
+                )
         return out
 
 
 def rename(day, names):
     """The day with its boxes' ids replaced."""
     from dataclasses import replace
+
     records = day.records and [(t, w, [names[b] for b in v] if w == "withdraw" else v) for t, w, v in day.records]
-    return replace(day, records=records, boxes=[{**b, "id": names[b["id"]]} for b in day.boxes],
-                   script=[{**s, "boxes": [names[b] for b in s["boxes"]]} for s in day.script],
-                   lists=[(t, names[b], m, c) for t, b, m, c in day.lists])
+    return replace(
+        day,
+        records=records,
+        boxes=[{**b, "id": names[b["id"]]} for b in day.boxes],
+        script=[{**s, "boxes": [names[b] for b in s["boxes"]]} for s in day.script],
+        lists=[(t, names[b], m, c) for t, b, m, c in day.lists],
+    )
 
 
 def good(result):
@@ -276,12 +332,17 @@
 
 def text_of(result):
     """What a person reads."""
-    lines = [f"{result['day']}, seed {result['seed']}"
-             + (f", router {result['router']}" if result["router"] != "module" else "")
-             + f": service {result['service']:.3f}; " + ", ".join(f"{n} {how}" for how, n in sorted(result["calls"].items()))]
+    lines = [
+        f"{result['day']}, seed {result['seed']}"
+        + (f", router {result['router']}" if result["router"] != "module" else "")
+        + f": service {result['service']:.3f}; "
+        + ", ".join(f"{n} {how}" for how, n in sorted(result["calls"].items()))
+    ]
     for r in result["rules"]:
         state = f"BROKEN {len(r['broken'])}" if r["broken"] else "kept" if r["cases"] else "no case"
-        lines.append(f"  {r['rule']:<32} {r['cases']:>6} cases   worst {r['worst']:>9g} of {r['limit']:g} {r['unit']:<14} {state}")
+        lines.append(
+            f"  {r['rule']:<32} {r['cases']:>6} cases   worst {r['worst']:>9g} of {r['limit']:g} {r['unit']:<14} {state}"
+        )
         lines += [f"      {b}" for b in r["broken"][:5]]
     if result["missing"]:
         lines.append(f"  the script is there for {', '.join(result['missing'])}, and none was seen")
--- a/lapiswing/loop/clock.py
+++ b/lapiswing/loop/clock.py
@@ -1,5 +1,6 @@
 """Time in whole microseconds. All processes of one machine read the same monotonic clock, so that records of
 several processes can be laid side by side."""
+
 import time
 
 
--- a/lapiswing/loop/core.py
+++ b/lapiswing/loop/core.py
@@ -1,4 +1,5 @@
 """The loop. One turn: wait for sockets or the next timer, run what is ready, run `after` hooks, flush."""
+
 import heapq
 import os
 import selectors
--- a/lapiswing/loop/net.py
+++ b/lapiswing/loop/net.py
@@ -1,4 +1,5 @@
 """Listening and connecting."""
+
 import errno
 import os
 import selectors
@@ -192,7 +193,7 @@
 
     def begin(self):
         host = self.address
-        family = (socket.AF_UNIX if isinstance(host, str) else socket.AF_INET6 if ":" in host[0] else socket.AF_INET)
+        family = socket.AF_UNIX if isinstance(host, str) else socket.AF_INET6 if ":" in host[0] else socket.AF_INET
         try:
             self.sock = socket.socket(family, socket.SOCK_STREAM)
             self.sock.setblocking(False)
--- a/lapiswing/loop/secure.py
+++ b/lapiswing/loop/secure.py
@@ -4,6 +4,7 @@
 
 What is written before the handshake is over waits. `stream.peer_names()` tells afterwards whom the certificate names. Bytes
 of files go through memory here: the kernel can't encrypt them for us without its own TLS, which is not asked for."""
+
 import os
 import select
 import ssl
--- a/lapiswing/loop/stream.py
+++ b/lapiswing/loop/stream.py
@@ -1,4 +1,5 @@
 """A connected socket with a bounded outgoing buffer."""
+
 import os
 import selectors
 import socket
@@ -19,6 +20,7 @@
 class FilePart:
     """Bytes of an open file that are to go out. `file` is kept until they are: whatever has `fileno()` and closes itself
     when the last one lets go of it. A plain number could be closed, and mean another file by the time it is sent."""
+
     __slots__ = ("file", "at", "left")
 
     def __init__(self, file, at, size):
@@ -55,8 +57,11 @@
         self.update()
 
     def update(self):
-        events = 0 if self.starved is not None else (selectors.EVENT_READ if self.reading and not self.ended else 0) | (
-            selectors.EVENT_WRITE if self.blocked else 0)
+        events = (
+            0
+            if self.starved is not None
+            else (selectors.EVENT_READ if self.reading and not self.ended else 0) | (selectors.EVENT_WRITE if self.blocked else 0)
+        )
         if events != self.events and not self.closed:
             self.loop.watch(self.sock, events, self.on_ready)
             self.events = events
--- a/lapiswing/membership/discover.py
+++ b/lapiswing/membership/discover.py
@@ -1,4 +1,5 @@
 """The doing part of finding boxes by records: asks what its browsers want, and tells the merge what they see."""
+
 MS = 1000
 LOOK_US = 200 * MS
 ASKS_S = 300  # questions a second, and at once: each costs about a millisecond of the loop
@@ -67,12 +68,18 @@
             self.tell(source, rows)
 
     def rows(self):
-        return {"sources": [{"source": s, "state": self.states.get(s, "none"), "boxes": len(self.last.get(s, ())),
-                             "problem": b.problem} for s, b in self.browsers.items()],
-                "servers": [{"server": f"{u.address[0]}:{u.address[1]}", "fails": u.fails, "answers": u.answers, "lost": u.lost}
-                            for u in self.resolver.servers],
-                "refused": [{"source": s, "name": n, "why": w} for (s, n), w in self.refused.items()][:100],
-                "counts": self.resolver.counts}
+        return {
+            "sources": [
+                {"source": s, "state": self.states.get(s, "none"), "boxes": len(self.last.get(s, ())), "problem": b.problem}
+                for s, b in self.browsers.items()
+            ],
+            "servers": [
+                {"server": f"{u.address[0]}:{u.address[1]}", "fails": u.fails, "answers": u.answers, "lost": u.lost}
+                for u in self.resolver.servers
+            ],
+            "refused": [{"source": s, "name": n, "why": w} for (s, n), w in self.refused.items()][:100],
+            "counts": self.resolver.counts,
+        }
 
     def close(self):
         self.closed = True
--- a/lapiswing/membership/merge.py
+++ b/lapiswing/membership/merge.py
@@ -16,6 +16,7 @@
 records are admitted `ADMIT` at once and some more each look, turn by turn by kind and zone, so that a flood does not bring one kind alone.
 
 Times are the caller's microseconds. Each box's state has its reason, see `explain`."""
+
 from typing import NamedTuple
 
 MS = 1000
@@ -143,7 +144,9 @@
             said.sort(key=lambda w: (w[0] != "list", w[3] is not None, w[0]))
             row = said[0][1]._replace(started_us=max(w[1].started_us for w in said))
             naming = [w for w in said if w[3] is None]
-            draining = [w for w in naming if w[2] == "draining"] or ([w for w in said if w[2] == "draining"] if not naming else [])
+            draining = [w for w in naming if w[2] == "draining"] or (
+                [w for w in said if w[2] == "draining"] if not naming else []
+            )
             if said[0][0] == "list" and said[0][2] == "gone":
                 mode, why = "gone", "list"
             elif name in self.ordered:
--- a/lapiswing/node/config.py
+++ b/lapiswing/node/config.py
@@ -1,5 +1,6 @@
 """The configuration that the platform gives, read and checked. Raises ConfigError with file, field and
 reason."""
+
 from typing import Any
 
 import msgspec
@@ -36,8 +37,11 @@
 
 LEAST_SOCKETS = 64
 NEEDED = {  # groups of the settings and what the decisions can't do without
-    "limits": ("max_attempts",), "rules": ("cold_from", "ramp_time_us", "fall_multiple", "overload_for_us"),
-    "penalties": (), "family_info": ("duty_by_kind", "kind_memory_tokens")}
+    "limits": ("max_attempts",),
+    "rules": ("cold_from", "ramp_time_us", "fall_multiple", "overload_for_us"),
+    "penalties": (),
+    "family_info": ("duty_by_kind", "kind_memory_tokens"),
+}
 
 
 def load(path):
--- a/lapiswing/node/discovery.py
+++ b/lapiswing/node/discovery.py
@@ -1,4 +1,5 @@
 """The watch of the platform's discovery. What can't be had or read leaves the last list standing."""
+
 from zlib import crc32
 
 import msgspec
@@ -41,6 +42,7 @@
 
 class Named(msgspec.Struct):
     """What must be readable of a row to tell whose it is."""
+
     name: str
 
 
--- a/lapiswing/node/front.py
+++ b/lapiswing/node/front.py
@@ -1,4 +1,5 @@
 """The platform's clients: a request head to a req, and its answer back."""
+
 import re
 from math import isfinite
 
@@ -6,8 +7,24 @@
 
 from lapiswing.gateway.core import Spec
 from lapiswing.gateway.fronts.listener import Listener
-from lapiswing.node.names import (CHAT, DEADLINE, EXTRA, GROUP, ID, IDEMPOTENCY_KEY, MOST_OUT, OWNER, PREFIX,
-                                  PREFIX_TOKENS, PROMPT, READY, RETRIES, RETRY, RETRY_AFTER, SESSION)
+from lapiswing.node.names import (
+    CHAT,
+    DEADLINE,
+    EXTRA,
+    GROUP,
+    ID,
+    IDEMPOTENCY_KEY,
+    MOST_OUT,
+    OWNER,
+    PREFIX,
+    PREFIX_TOKENS,
+    PROMPT,
+    READY,
+    RETRIES,
+    RETRY,
+    RETRY_AFTER,
+    SESSION,
+)
 from lapiswing.node.servers import Ask
 
 RID = re.compile(rb"[0-9A-Za-z._~-]{1,64}")
@@ -108,9 +125,21 @@
         tokens = extra.get(PROMPT) or max(1, len(exchange.body) // BYTES_A_TOKEN)
         ask = Ask(exchange.method, exchange.target, rid, exchange.body, once(fields, IDEMPOTENCY_KEY))
         tenant = self.tenants.get(once(fields, OWNER), len(self.tenants))  # an unknown one has no quota
-        return Spec(group, tenant, ask, tokens, expires_us, session.decode() if session else None,
-                    extra.get(PREFIX), extra.get(PREFIX_TOKENS, 0), extra.get(MOST_OUT, 0), None, b"",
-                    rid=rid_text, bits=RETRIES.get(once(fields, RETRY), 0))
+        return Spec(
+            group,
+            tenant,
+            ask,
+            tokens,
+            expires_us,
+            session.decode() if session else None,
+            extra.get(PREFIX),
+            extra.get(PREFIX_TOKENS, 0),
+            extra.get(MOST_OUT, 0),
+            None,
+            b"",
+            rid=rid_text,
+            bits=RETRIES.get(once(fields, RETRY), 0),
+        )
 
 
 class ResponseWriter(Listener):
--- a/lapiswing/node/names.py
+++ b/lapiswing/node/names.py
@@ -1,4 +1,5 @@
 """Every name of the platform's protocol, in one table."""
+
 # headers, in lower case as the HTTP layer gives them
 ID, GROUP, SESSION, DEADLINE = b"req-id", b"req-kind", b"req-key", b"req-deadline"
 EXTRA, RETRY, OWNER = b"req-extra", b"req-retry", b"req-owner"
--- a/lapiswing/node/outcomes.py
+++ b/lapiswing/node/outcomes.py
@@ -2,6 +2,7 @@
 
 Only a refusal with its mark, a connection that never was and a request that was not wholly written prove that a
 forward did not run; everything else may have."""
+
 from math import isfinite
 
 from lapiswing.translation import report
--- a/lapiswing/node/reach.py
+++ b/lapiswing/node/reach.py
@@ -4,6 +4,7 @@
 Guards against a holder that is cut off, alone or with its zone, against this gateway's own zone being cut
 off, and against answers that get lost. Could harm by its messages where no server answers at all: `AT_ONCE`
 bounds them."""
+
 from lapiswing.routing.chance import mixed
 
 AT_ONCE = 4  # servers told anew at the most each time
@@ -59,14 +60,14 @@
         by_zone, quiet = {}, self.quiet
         for name, zone in self.zones.items():
             by_zone.setdefault(zone, []).append(name)
-        latest = {zone: [max(known.get(n, 0) for n in names) for known in (self.heard_us, self.silent_us)]
-                  for zone, names in by_zone.items()}
+        latest = {
+            zone: [max(known.get(n, 0) for n in names) for known in (self.heard_us, self.silent_us)]
+            for zone, names in by_zone.items()
+        }
         for names in by_zone.values():
             names.sort(key=lambda n: (quiet(n), -self.heard_us.get(n, 0), chance[n]))
-        zones = sorted(by_zone, key=lambda z: (latest[z][1] > latest[z][0], z != self.zone,
-                                               chance[by_zone[z][0]]))
-        line = [by_zone[z][at] for at in range(max(map(len, by_zone.values()), default=0)) for z in zones
-                if at < len(by_zone[z])]
+        zones = sorted(by_zone, key=lambda z: (latest[z][1] > latest[z][0], z != self.zone, chance[by_zone[z][0]]))
+        line = [by_zone[z][at] for at in range(max(map(len, by_zone.values()), default=0)) for z in zones if at < len(by_zone[z])]
         line.sort(key=quiet)
         if holder in self.zones:
             line.remove(holder)
--- a/lapiswing/node/serve.py
+++ b/lapiswing/node/serve.py
@@ -1,4 +1,5 @@
 """Puts one gateway of the platform together: configuration, loop, discovery, core, front, signals."""
+
 import gc
 import resource
 import signal
@@ -56,6 +57,7 @@
 
 class CoreSettings(NamedTuple):
     """What the core asks of its settings message, from the platform's figures."""
+
     limits: CoreLimits
     group: list
     mapping: Mapping = Mapping()
@@ -96,37 +98,71 @@
         self.config, settings = configs.load(path)
         clock = loop.clock if loop else Clock()
         self.log = RateLimitedLog(log, clock)
-        self.loop = loop or Loop(clock, on_error=lambda problem: self.log.error(
-            "fault", why=f"{type(problem).__name__}: {problem}", exc_info=problem))
+        self.loop = loop or Loop(
+            clock, on_error=lambda problem: self.log.error("fault", why=f"{type(problem).__name__}: {problem}", exc_info=problem)
+        )
         # What the process may really open counts where that is less than the configuration says.
         limits, sockets = settings["limits"], min(self.config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         # As many to servers as usual clients may have reqs open, and some for releases and what waits idle.
         to_servers = sockets * 3 // 8
         self.clients = sockets - to_servers - OWN
         idle_us = limits.get("conn_idle_us") or 10_000 * MS
-        self.pool = Pool(self.loop, to_servers, max(4, to_servers // 16), idle_us * 6 // 10,
-                         limits.get("connect_timeout_us") or 250 * MS, settle_us=20 * MS, most_all=to_servers)
+        self.pool = Pool(
+            self.loop,
+            to_servers,
+            max(4, to_servers // 16),
+            idle_us * 6 // 10,
+            limits.get("connect_timeout_us") or 250 * MS,
+            settle_us=20 * MS,
+            most_all=to_servers,
+        )
         self.asking = Pool(self.loop, 4, 1, 60_000 * MS, 1000 * MS)
         report = settings.get("report") or {}
         self.servers = Servers(
-            self.loop, self.pool, report.get("names") or [], bool(report.get("names")),
-            Reach(settings.get("az", 0), int(self.config.seed, 16)), settings["family_info"].get("let_go_by_us"))
+            self.loop,
+            self.pool,
+            report.get("names") or [],
+            bool(report.get("names")),
+            Reach(settings.get("az", 0), int(self.config.seed, 16)),
+            settings["family_info"].get("let_go_by_us"),
+        )
         margin_us = settings.get("resolution_us") or MS
         self.core = Core(
-            self.loop, self.servers, Membership(), Repeats(1, 1),
+            self.loop,
+            self.servers,
+            Membership(),
+            Repeats(1, 1),
             CoreSettings(
                 CoreLimits(margin_us / MS, self.clients, (limits.get("max_retry_after_us") or 0) // MS),
-                [Group() for _ in settings["groups"]]),
-            settings, settings["family_info"]["duty_by_kind"], self.config.name, int(self.config.seed, 16),
-            self.log, router)
+                [Group() for _ in settings["groups"]],
+            ),
+            settings,
+            settings["family_info"]["duty_by_kind"],
+            self.config.name,
+            int(self.config.seed, 16),
+            self.log,
+            router,
+        )
         self.core.line_each = False
         self.pool.stuck.on_change = self.core.stuck
         self.rows = Rows(settings["kinds"], settings["zones"], ServerStarts(wall_clock.offset_us(self.loop.clock)))
         tenants = [str(tenant.get("name")) for tenant in settings.get("tenants") or []]
         self.front = Front(self.core, settings["groups"], tenants, lambda: bool(self.rows.rows) and not self.stopping)
-        self.server = Server(self.loop, self.front.app, HttpLimits(
-            HEAD_BYTES, MOST, FIRST_US, FIRST_US, 120_000 * MS, 10_000 * MS, HEAD_BYTES + MOST, connections=self.clients,
-            first_us=FIRST_US))
+        self.server = Server(
+            self.loop,
+            self.front.app,
+            HttpLimits(
+                HEAD_BYTES,
+                MOST,
+                FIRST_US,
+                FIRST_US,
+                120_000 * MS,
+                10_000 * MS,
+                HEAD_BYTES + MOST,
+                connections=self.clients,
+                first_us=FIRST_US,
+            ),
+        )
         self.asked = settings.get("membership_mode") == "subscribe"
         self.listener = self.discovery = self.reloading = self.fault = None
         self.waits_for_port = False
@@ -149,8 +185,16 @@
         """Learns what is known, asks discovery and listens, now or as soon as the port can be had."""
         self.take_known()
         self.core.turn()
-        self.discovery = Discovery(self.loop, self.asking, address_of(self.config.discovery), self.rows,
-                                   self.on_rows, self.log, self.asked, int(self.config.seed, 16))
+        self.discovery = Discovery(
+            self.loop,
+            self.asking,
+            address_of(self.config.discovery),
+            self.rows,
+            self.on_rows,
+            self.log,
+            self.asked,
+            int(self.config.seed, 16),
+        )
         self.listen_until_us = self.loop.clock.now_us() + LISTEN_US
         self.listen()
 
@@ -168,8 +212,7 @@
         self.listener.make_room = self.server.make_room
         self.listener.on_refused = self.server.answer_refused
         self.server.listener = self.listener
-        self.log.info("listening", at=self.config.listen, boxes=len(self.rows.rows),
-                      sockets=self.config.limits.sockets)
+        self.log.info("listening", at=self.config.listen, boxes=len(self.rows.rows), sockets=self.config.limits.sockets)
 
     def cant_listen(self, problem):
         """What may pass, such as a process before this one that still has the port, is waited for."""
@@ -206,9 +249,14 @@
 
     def show(self):
         """One line for each model server: what the decisions believe of it, beside what the sockets show."""
-        self.log.info("view", reqs=len(self.core.reqs), open=self.core.open,
-                      clients=len(self.server.connections), to_servers=len(self.pool.all),
-                      releasing=self.servers.releasing)
+        self.log.info(
+            "view",
+            reqs=len(self.core.reqs),
+            open=self.core.open,
+            clients=len(self.server.connections),
+            to_servers=len(self.pool.all),
+            releasing=self.servers.releasing,
+        )
         for row in view.rows(self.core, self.servers, self.pool):
             self.log.info("view", **row)
 
@@ -252,13 +300,21 @@
     def finish(self):
         # Half a request is waited for as long as kept connections are: its client has sent it here and nowhere else.
         late = self.loop.now >= self.stopped_us + KEPT_US
-        if self.core.reqs or self.servers.releasing or (
-                any(c.stream.waiting for c in self.server.connections) if late else self.server.busy()):
+        if (
+            self.core.reqs
+            or self.servers.releasing
+            or (any(c.stream.waiting for c in self.server.connections) if late else self.server.busy())
+        ):
             return self.loop.call_later(20 * MS, self.finish)
         self.server.drain()
         self.core.guards.closed(self.core.reqs.values())
-        self.log.info("stopped", guards=self.core.guards.total, rounds=self.core.rounds, round_ms=self.core.round_us // MS,
-                      **{k.replace(" ", "_"): v for k, v in self.core.counts.items() if v})
+        self.log.info(
+            "stopped",
+            guards=self.core.guards.total,
+            rounds=self.core.rounds,
+            round_ms=self.core.round_us // MS,
+            **{k.replace(" ", "_"): v for k, v in self.core.counts.items() if v},
+        )
         self.loop.stop()
 
     def run(self):
--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -1,5 +1,6 @@
 """What is said to model servers, with the same face to the core as `engine.Engine`. A forward's owner hears
 on_first, on_events and on_outcome as there; events come as the bytes that the server sent."""
+
 from typing import NamedTuple
 
 import orjson
@@ -22,6 +23,7 @@
 
 class Ask(NamedTuple):
     """A client's request, as it goes on unchanged."""
+
     method: bytes
     target: bytes
     rid: bytes
@@ -115,7 +117,7 @@
         for line in block.split(b"\n"):
             if line[:1] == b":":
                 if line.startswith(LOAD_LINE):
-                    self.report = load_of(line[len(LOAD_LINE):], self.servers.load_names) or self.report
+                    self.report = load_of(line[len(LOAD_LINE) :], self.servers.load_names) or self.report
             elif line == b"data: [DONE]":
                 events += 1
             elif line[:6] == b"data: ":
@@ -221,7 +223,7 @@
         if self.wave == WAVES or not self.servers.addresses:
             return self.end()
         self.timer = self.servers.loop.call_later(self.servers.let_go_us // reach.PARTS, self.go)
-        for call in self.out[-reach.AT_ONCE:]:
+        for call in self.out[-reach.AT_ONCE :]:
             if call.done:
                 self.servers.silent(call.server)
         line = (self.servers.reach.order if self.wave else self.servers.reach.first)(self.holder)
@@ -283,8 +285,7 @@
     def name(self, gateway, rid, number=None):
         return rid.encode()
 
-    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None,
-                up_us=None):
+    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
         forward = Forward(self, owner, server, name)
         fields = [(ID, raw.rid), (b"content-type", b"application/json")]
         if raw.key is not None:
@@ -293,12 +294,14 @@
 
         def time_left():  # as the head is written: a connection that comes up late has used some of it
             return [(DEADLINE, b"%.3f" % (max(0, due_us - self.loop.clock.now_us()) / 1e6))]
+
         address = self.addresses.get(server)
         if address is None:
             forward.exchange = Nowhere(self.loop, forward)
         else:
-            forward.exchange = self.pool.request(address, raw.method, raw.target, fields, raw.body, forward,
-                                                 fresh, up_us, time_left)
+            forward.exchange = self.pool.request(
+                address, raw.method, raw.target, fields, raw.body, forward, fresh, up_us, time_left
+            )
         return forward
 
     def release(self, server, name):
@@ -311,6 +314,7 @@
         def told(code, status, _report, _body):
             refused = code in ("unreachable", "no_way", "moot") or code == "done" and status in (404, 409)
             done(True if code == "done" and status == 200 else False if refused else None)
+
         ControlCall(self, server, b"POST", ROOMS + name, 1000 * MS, told)
 
     def probe(self, server, done):
@@ -319,13 +323,17 @@
 
         def told(code, status, report, body):
             good = code == "done" and status == 200
-            done("done" if good else "error" if code == "done" else code,
-                 report or (load_of(body, self.load_names) if good and self.reports else None))
+            done(
+                "done" if good else "error" if code == "done" else code,
+                report or (load_of(body, self.load_names) if good and self.reports else None),
+            )
+
         ControlCall(self, server, b"GET", LOADED if self.reports else HEALTHY, PROBE_US, told)
 
 
 class Nowhere:
     """In place of an exchange with a server that has left the list meanwhile."""
+
     in_chunk, unsent = False, True
 
     def __init__(self, loop, forward):
--- a/lapiswing/node/view.py
+++ b/lapiswing/node/view.py
@@ -20,9 +20,21 @@
     found = []
     for m in core.router.machines.values():
         address = servers.addresses.get(m.id)
-        found.append({
-            "box": m.id, "mode": m.mode, "listed": address is not None, "suspect": m.suspect, "cold": m.cold,
-            "bad": round(m.bad, 2), "held": round(m.held, 2), "told_ms": m.told_us // 1000,
-            "believed": believed.get(m.id, 0), "unbegun": len(m.waiting), "out": out.get(m.id, 0),
-            "busy": busy.get(address, 0), "idle": idle.get(address, 0)})
+        found.append(
+            {
+                "box": m.id,
+                "mode": m.mode,
+                "listed": address is not None,
+                "suspect": m.suspect,
+                "cold": m.cold,
+                "bad": round(m.bad, 2),
+                "held": round(m.held, 2),
+                "told_ms": m.told_us // 1000,
+                "believed": believed.get(m.id, 0),
+                "unbegun": len(m.waiting),
+                "out": out.get(m.id, 0),
+                "busy": busy.get(address, 0),
+                "idle": idle.get(address, 0),
+            }
+        )
     return found
--- a/lapiswing/observe/logs.py
+++ b/lapiswing/observe/logs.py
@@ -1,4 +1,5 @@
 """Logs by structlog, to standard error: one line an event, as text (logfmt) or JSON."""
+
 import logging
 import sys
 
@@ -13,11 +14,20 @@
 
 def start_logs(level="info", form="text", sink=None, **bound):
     """-> a logger with `bound` in each line."""
-    renderer = structlog.processors.JSONRenderer() if form == "json" else structlog.processors.LogfmtRenderer(
-        key_order=["timestamp", "level", "event"], bool_as_flag=False)
+    renderer = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], bool_as_flag=False)
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    drop_empty, structlog.processors.format_exc_info, renderer],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            drop_empty,
+            structlog.processors.format_exc_info,
+            renderer,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.WriteLoggerFactory(LogSink(sink or sys.stderr)))
+        logger_factory=structlog.WriteLoggerFactory(LogSink(sink or sys.stderr)),
+    )
     return structlog.get_logger(**bound)
--- a/lapiswing/observe/metrics.py
+++ b/lapiswing/observe/metrics.py
@@ -1,6 +1,7 @@
 """Metrics by prometheus_client, read off the program's own counters when they are asked for: counting costs nothing more.
 
 A source yields (name, kind, help, rows); kind is counter or gauge, rows: (labels, value) with labels as a dict."""
+
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
--- a/lapiswing/policy.py
+++ b/lapiswing/policy.py
@@ -1,6 +1,7 @@
 """All decisions of lapiswing. A host calls Router(seed, settings, now_us) once and then
 router.round(now_us, events, out) each round; events, codes and the writer are in lapiswing/interface.py.
 The ordinary path is the pair table and shares of docs/design.md; the rest guards it when things fail."""
+
 from bisect import bisect_left
 from itertools import accumulate
 from math import ceil, log, sqrt
@@ -173,8 +174,11 @@
         self.read_mean, self.wait_mean = (np.sort(e)[(len(e) - 1) // 2] for e in (reads_end, waits_end))
         total = sum(m[0] for m in self.mix)
         tokens = sum(m[1] for m in self.mix) / (total or 1.0)
-        demands = [Demand(m[0] / total, g.target_us + g.target_per_1000_us * m[1] / m[0] / 1000 - MIDDLES)
-                   for m, g in zip(self.mix, self.groups) if m[0] > 0]
+        demands = [
+            Demand(m[0] / total, g.target_us + g.target_per_1000_us * m[1] / m[0] / 1000 - MIDDLES)
+            for m, g in zip(self.mix, self.groups)
+            if m[0] > 0
+        ]
         good = [np.array([1 - m.bad for m in side]) for side in (self.readers, self.writers)]
         pace = np.minimum(1.0, 1.5 / pace)
         self.table.refresh(read, wait, demands, pace, good, self.load(), tokens, self.hop)
@@ -221,8 +225,9 @@
         flow = sum(m[1] for m in self.mix) * self.gateways / self.read_span
         ahead = np.array([r.out_tokens for r in self.readers]) * cost / (1000 * MS)
         work = self.read_tokens * self.gateways / self.read_span * cost
-        return Load(ahead, work, known * own, (2 - known) * streams, 2 * memory, TOLD * held * held,
-                    flow * np.array(self.transfer))
+        return Load(
+            ahead, work, known * own, (2 - known) * streams, 2 * memory, TOLD * held * held, flow * np.array(self.transfer)
+        )
 
     def look_for_silence(self):
         """What a silent server holds, or later forwards have far overtaken there, is as good as lost: reads
@@ -247,17 +252,24 @@
                 # harm where taking back stops nothing; the usual time keeps a common jam from moving all.
                 # Without enough reads to tell it, the moves of many gateways would multiply a jam.
                 again, holder = self.groups[req.group].effect == "replayable", req.holder
-                late = known and (stage == "read" or stage == "write" and again and m.held < FULL) and (
-                    max(0.25 * (req.target - req.arrived), 3 * usual) < waited
-                    < min(req.target, req.expires) - self.now)
+                late = (
+                    known
+                    and (stage == "read" or stage == "write" and again and m.held < FULL)
+                    and (max(0.25 * (req.target - req.arrived), 3 * usual) < waited < min(req.target, req.expires) - self.now)
+                )
                 if late:
                     move = self.hop(holder, 1 + (holder.zone != m.zone)) if stage == "write" and holder else 0
                     late = waited > 3 * (ahead * self.cost_of(m) + req.tokens * move)
                 if silent and not m.suspect:
                     self.mark(m, 0.6, f"silent for {quiet // MS} ms, usual {usual / MS:.0f}")
                 harmless = stage == "read" or (overtaken or late) and again
-                if (silent or overtaken or late) and harmless and not req.closed and self.may_cancel and (
-                        self.spare >= 1 and len(req.forwards) < self.most_forwards - 1):
+                if (
+                    (silent or overtaken or late)
+                    and harmless
+                    and not req.closed
+                    and self.may_cancel
+                    and (self.spare >= 1 and len(req.forwards) < self.most_forwards - 1)
+                ):
                     self.out.retract(rid, number)
 
     def mark(self, m, by, why):
@@ -278,15 +290,19 @@
     def usable(self, m, req):
         m.cold = m.started_us > 0 and self.now - m.started_us < self.cold_us
         trial = self.now >= m.trial_us and not m.waiting and len(req.forwards) < 2
-        return m.mode == "ready" and m.id not in req.tried and (
-            not m.suspect or self.modes.get("trouble in common", False) or trial)
+        return (
+            m.mode == "ready" and m.id not in req.tried and (not m.suspect or self.modes.get("trouble in common", False) or trial)
+        )
 
     def reachable(self, machines, req):
         """The usable ones, if any is left outside zones that look cut off: where connections of two servers,
         or this req's, did not come up and none answered since. Guards against trying a lost zone one by one;
         could harm where single servers of a zone hang, by a pause."""
-        lost = {zone for zone, ids in self.lost.items() if self.now - max(ids.values()) < self.pause_us and (
-            len(ids) > 1 or not req.tried.isdisjoint(ids))}
+        lost = {
+            zone
+            for zone, ids in self.lost.items()
+            if self.now - max(ids.values()) < self.pause_us and (len(ids) > 1 or not req.tried.isdisjoint(ids))
+        }
         usable = [m for m in machines if self.usable(m, req) and self.may_forward(req, m)]
         return [m for m in usable if m.zone not in lost] or usable
 
@@ -445,7 +461,7 @@
             by = max(0.0, 1 - self.reads.sum() / (4 * len(self.readers)))
             homes = max(1, min(2, len(near) // 3), ceil(2 * len(near) * self.heat_of(key)))
             near.sort(key=lambda r: -log(1 - rank(key, r)) / shares[r.id] ** by)
-            ranked = sorted(near[:homes], key=lambda r: rank(req.session, r)) + near[homes:2 * homes]
+            ranked = sorted(near[:homes], key=lambda r: rank(req.session, r)) + near[homes : 2 * homes]
             drawn = next((r for r in ranked if r in fit), None) or ranked[0]
         elif drawn not in fit or key is None:
             drawn = min(near or usable, key=lambda r: ends[r.id])
@@ -492,8 +508,12 @@
         """Effects: whether a repeat at this server can do no harm."""
         g = self.groups[req.group]
         alike = {"zone": lambda m: m.zone, "cell": lambda m: m.cell}.get(g.repeat_scope, lambda m: 0)
-        return g.effect == "replayable" or not req.ran or g.effect == "keyed" and all(
-            self.window_left(g, sent) >= 0 and alike(first) == alike(machine) for first, sent in req.ran)
+        return (
+            g.effect == "replayable"
+            or not req.ran
+            or g.effect == "keyed"
+            and all(self.window_left(g, sent) >= 0 and alike(first) == alike(machine) for first, sent in req.ran)
+        )
 
     def window_left(self, group, sent_us):
         """Time in which a repeat of an attempt sent then may still begin."""
@@ -523,8 +543,7 @@
         machine.waiting[req.id, number] = (self.now, stage == "write")
         if machine.suspect:
             machine.trial_us = self.now + self.pause_us
-        self.out.forward(req.id, machine.id, max(MS, req.expires - self.now - self.margin_us),
-                         up_us)
+        self.out.forward(req.id, machine.id, max(MS, req.expires - self.now - self.margin_us), up_us)
         if stage == "write" and req.holder is not None:
             self.watch_claim(req, number)
 
@@ -625,8 +644,7 @@
                     ahead += req.tokens - (remark or 0) - fresh
                 self.read_well += 1
                 self.learn_read(machine, latency, ahead)
-        if code not in NEVER_OUT and (
-                stage == "read" and code != "full" or req.up_by < req.expires):  # it was out, and may hold
+        if code not in NEVER_OUT and (stage == "read" and code != "full" or req.up_by < req.expires):  # it was out, and may hold
             req.up_by = min(req.expires, self.now + self.up_us)
         if code not in ("timed_out", "cancelled", "no_way", "moot"):
             machine.heard_us = self.now
--- a/lapiswing/routing/chance.py
+++ b/lapiswing/routing/chance.py
@@ -1,4 +1,5 @@
 """Chance that can be played again: from `zlib.crc32` over a seed and a counter, and hashes that all gateways share."""
+
 from bisect import bisect_left
 from itertools import accumulate
 from zlib import crc32
--- a/lapiswing/routing/groups.py
+++ b/lapiswing/routing/groups.py
@@ -1,4 +1,5 @@
 """Servers of one role in groups of like ones, and sums over these. What makes servers alike is decided elsewhere."""
+
 import numpy as np
 
 
@@ -24,7 +25,9 @@
 
     def kept(self, earlier):
         """-> places of the groups that were there before, now and then."""
-        return np.array([(i, earlier.index[key]) for i, key in enumerate(self.keys) if key in earlier.index], int).reshape(-1, 2).T
+        return (
+            np.array([(i, earlier.index[key]) for i, key in enumerate(self.keys) if key in earlier.index], int).reshape(-1, 2).T
+        )
 
     def total(self, values):
         return np.add.reduceat(values[self.order], self.starts, axis=0) if self.grouped else values
--- a/lapiswing/routing/pair_table.py
+++ b/lapiswing/routing/pair_table.py
@@ -2,6 +2,7 @@
 should attain together, and the small solver that moves shares from the worst pairs to the best.
 Servers stand alone while their pairs are few. Beyond that those of one kind in some racks of a zone share a
 row or a column, and a second step moves shares inside each group: work grows with servers, not with pairs."""
+
 import numpy as np
 
 from lapiswing.routing.groups import Racks, Side
@@ -43,10 +44,12 @@
         self.links = np.unique(r_label, return_inverse=True)[1]  # by row; the racks of a group count as one
         racks = {(label_of(m), m.cell) for m in readers}
         self.racks = np.bincount(np.searchsorted(np.unique(r_label), [label for label, _ in racks]))
-        self.ways = [(i, r, way) for i, r in enumerate(self.rows.first) if not r.writes
-                     for way in set(self.nearness[i].tolist())]  # nearnesses that a reader's moves may have
+        self.ways = [
+            (i, r, way) for i, r in enumerate(self.rows.first) if not r.writes for way in set(self.nearness[i].tolist())
+        ]  # nearnesses that a reader's moves may have
         self.price = self.far_price * (self.nearness > 0) + self.cross_price * (
-            (r_zone != self.zone)[:, None] + ((w_zone != self.zone) & ~own))
+            (r_zone != self.zone)[:, None] + ((w_zone != self.zone) & ~own)
+        )
         alike = self.rows.counts[:, None]
         self.size = np.where(own, alike, alike * self.columns.counts) * self.open
         self.keep_shares(rows, columns, density)
@@ -158,7 +161,7 @@
     @staticmethod
     def move(order, score, share, equal, taking):
         worst = order[share[order] > FLOOR * equal[order]][:taking]
-        for best, worst in zip(order[:-taking - 1:-1].tolist(), worst.tolist()):
+        for best, worst in zip(order[: -taking - 1 : -1].tolist(), worst.tolist()):
             if best == worst or score[best] - score[worst] < LEAST_GAIN:
                 break
             step = min(STEP * equal[worst], share[worst] - FLOOR * equal[worst] * 0.9)
--- a/lapiswing/routing/state.py
+++ b/lapiswing/routing/state.py
@@ -1,4 +1,5 @@
 """What a Router keeps of each server and of each request. No decision is taken here."""
+
 from typing import NamedTuple
 
 import numpy as np
@@ -34,12 +35,14 @@
 
 class Demand(NamedTuple):
     """Of one class of requests: its part of all, and what each bin of prefill latency leaves of its target, in us."""
+
     part: float
     left: np.ndarray
 
 
 class Load(NamedTuple):
     """What shares worsen: by prefill server, by decode server, and of the links."""
+
     ahead: np.ndarray  # seconds of prefill work that this gateway has out there
     work: np.ndarray  # of all gateways, if all of it went there
     own: np.ndarray  # tokens of own streams there, as far as these tell
@@ -51,6 +54,7 @@
 
 class RouterState:
     """What a Router has seen so far, all at nothing."""
+
     TABLES = ("reads", "waits", "taken", "took", "stream_us", "owed_us", "begun")  # with a row for each server
 
     def __init__(self, now_us, groups, kinds, bins):
--- a/lapiswing/sessions/book.py
+++ b/lapiswing/sessions/book.py
@@ -8,6 +8,7 @@
 
 Turns: sessions with something to send are served round robin, each up to `QUANTUM` bytes a turn, and so are the
 streams within one. A session with 200 streams takes no more of a turn than a session with one."""
+
 from collections import deque
 from dataclasses import dataclass
 
@@ -18,6 +19,7 @@
 @dataclass(frozen=True)
 class Limits:
     """Bytes and microseconds."""
+
     per_tenant: int = 1000
     total: int = 4000
     reqs: int = 64
@@ -144,8 +146,12 @@
 
     def starved(self, now_us):
         """Streams that have waited too long for credit. -> [(session, stream)]"""
-        return [(s, x) for s in self.sessions.values() for x in s.streams.values()
-                if x.starved_us is not None and now_us - x.starved_us >= self.limits.stall_us and not x.over]
+        return [
+            (s, x)
+            for s in self.sessions.values()
+            for x in s.streams.values()
+            if x.starved_us is not None and now_us - x.starved_us >= self.limits.stall_us and not x.over
+        ]
 
     # ---- streams
 
@@ -212,8 +218,11 @@
         if session.bytes <= self.limits.session_bytes and self.bytes <= self.limits.total_bytes:
             return
         for stream in list(session.streams.values()):
-            while len(stream.items) > stream.unsent and not stream.items[0].final and (
-                    session.bytes > self.limits.session_bytes or self.bytes > self.limits.total_bytes):
+            while (
+                len(stream.items) > stream.unsent
+                and not stream.items[0].final
+                and (session.bytes > self.limits.session_bytes or self.bytes > self.limits.total_bytes)
+            ):
                 item = stream.items.popleft()
                 stream.gap = True
                 self.count_bytes(session, stream, -len(item.data))
@@ -294,5 +303,7 @@
             self.line_up(session)
 
 
-GAP = (b'"how":"aborted","status":502,"error":{"message":"Events of this call that you have not seen are no longer kept.",'
-       b'"type":"server_error","param":null,"code":"events_lost"}')
+GAP = (
+    b'"how":"aborted","status":502,"error":{"message":"Events of this call that you have not seen are no longer kept.",'
+    b'"type":"server_error","param":null,"code":"events_lost"}'
+)
--- a/lapiswing/sessions/tokens.py
+++ b/lapiswing/sessions/tokens.py
@@ -2,6 +2,7 @@
 
 A token holds the session, its tenant and the life of the gateway that keeps it. It proves that this fleet made it; who
 shows it must also hold an API key of the same tenant."""
+
 import orjson
 from cryptography.fernet import Fernet, InvalidToken, MultiFernet
 
--- a/lapiswing/settings/load.py
+++ b/lapiswing/settings/load.py
@@ -1,6 +1,7 @@
 """Text -> checked message -> the plain settings that the Router is started with.
 
 `load_text` raises SettingsError with every fault that could be found: file, line, field and reason."""
+
 import re
 from typing import NamedTuple
 
@@ -22,27 +23,75 @@
 # What a field holds where the file leaves it out. These describe the place, not what is decided there.
 DEFAULTS = {
     "gateway": {"name": "gateway", "gateways": 1, "drain_limit_ms": 20000},
-    "listen": {"host": "127.0.0.1", "port": 8080, "connections": 4096, "head_bytes": 32768, "body_bytes": 4 << 20,
-               "head_ms": 10000, "body_ms": 30000, "idle_ms": 75000, "stall_ms": 30000},
-    "limits": {"max_forwards": 4, "max_come_back_ms": 1000, "connect_ms": 250, "connections_per_box": 1024,
-               "open_reqs": 20000, "answer_buffer_bytes": 262144, "event_bytes": 1 << 20, "repeats_kept": 10000,
-               "repeat_bytes": 32 << 20, "margin_ms": 10, "resumes": 2},
-    "rules": {"drain_grace_ms": 1000, "cold_from": 0.25, "ramp_ms": 12000, "fall_multiple": 2.5,
-              "overload_ms": 1000, "let_go_ms": 500},
+    "listen": {
+        "host": "127.0.0.1",
+        "port": 8080,
+        "connections": 4096,
+        "head_bytes": 32768,
+        "body_bytes": 4 << 20,
+        "head_ms": 10000,
+        "body_ms": 30000,
+        "idle_ms": 75000,
+        "stall_ms": 30000,
+    },
+    "limits": {
+        "max_forwards": 4,
+        "max_come_back_ms": 1000,
+        "connect_ms": 250,
+        "connections_per_box": 1024,
+        "open_reqs": 20000,
+        "answer_buffer_bytes": 262144,
+        "event_bytes": 1 << 20,
+        "repeats_kept": 10000,
+        "repeat_bytes": 32 << 20,
+        "margin_ms": 10,
+        "resumes": 2,
+    },
+    "rules": {
+        "drain_grace_ms": 1000,
+        "cold_from": 0.25,
+        "ramp_ms": 12000,
+        "fall_multiple": 2.5,
+        "overload_ms": 1000,
+        "let_go_ms": 500,
+    },
     "prices": {"far": 0.03, "cross_zone": 0.02},
-    "mapping": {"group_header": "x-endpoint-group", "session_header": "x-session-id",
-                "deadline_header": "x-request-timeout-ms", "bytes_per_token": 4.0, "prefix_messages": 1,
-                "default_max_tokens": 512},
-    "sessions": {"per_tenant": 1000, "total": 4000, "reqs": 64, "session_bytes": 262144, "total_bytes": 256 << 20,
-                 "message_bytes": 4 << 20, "resume_ms": 15000, "idle_ms": 600000, "ping_ms": 20000, "stall_ms": 30000,
-                 "spread_ms": 5000},
+    "mapping": {
+        "group_header": "x-endpoint-group",
+        "session_header": "x-session-id",
+        "deadline_header": "x-request-timeout-ms",
+        "bytes_per_token": 4.0,
+        "prefix_messages": 1,
+        "default_max_tokens": 512,
+    },
+    "sessions": {
+        "per_tenant": 1000,
+        "total": 4000,
+        "reqs": 64,
+        "session_bytes": 262144,
+        "total_bytes": 256 << 20,
+        "message_bytes": 4 << 20,
+        "resume_ms": 15000,
+        "idle_ms": 600000,
+        "ping_ms": 20000,
+        "stall_ms": 30000,
+        "spread_ms": 5000,
+    },
     "store": {"answer_bytes": 65536, "segment_bytes": 4 << 20},
     "dns": {"lifetime_floor_s": 1, "lifetime_ceiling_s": 300, "stale_s": 3600, "gone_ms": 10000, "doubt_ms": 30000},
     "admin": {"host": "127.0.0.1"},
     "log": {"level": "info", "format": "text"},
 }
-GROUP_DEFAULTS = {"target_ms": 1500, "target_per_1000_ms": 40, "token_target_ms": 60, "deadline_ms": 10000,
-                  "importance": 1.0, "late_importance": 0.3, "stream_idle_ms": 5000, "repeat_window_ms": 5000}
+GROUP_DEFAULTS = {
+    "target_ms": 1500,
+    "target_per_1000_ms": 40,
+    "token_target_ms": 60,
+    "deadline_ms": 10000,
+    "importance": 1.0,
+    "late_importance": 0.3,
+    "stream_idle_ms": 5000,
+    "repeat_window_ms": 5000,
+}
 
 
 class Fault(NamedTuple):
@@ -57,6 +106,7 @@
 
 class SettingsError(OperatorError):
     """`faults`: all that were found."""
+
     exit_code = 2
     advice = "Mend the named fields (docs/settings.md); `lapiswing check FILE` tells all faults of a gateway's file."
 
@@ -151,8 +201,11 @@
     return settings
 
 
-AGENT_DEFAULTS = {"listen": {"host": "0.0.0.0", "port": 9100}, "control": {"host": "127.0.0.1", "port": 9101},
-                  "log": {"level": "info", "format": "text"}}
+AGENT_DEFAULTS = {
+    "listen": {"host": "0.0.0.0", "port": 9100},
+    "control": {"host": "127.0.0.1", "port": 9101},
+    "log": {"level": "info", "format": "text"},
+}
 AGENT_PLAIN = {"memory_bytes": 4 << 30, "chunk_bytes": 1 << 20, "cold_ms": 12000}
 
 
@@ -374,8 +427,18 @@
 def boxes_of(boxes, settings, zones, cells, unix_to_us):
     """`box` entries -> rows for the Router. `unix_to_us` turns Unix milliseconds into the loop's time."""
     kinds = [k.name for k in settings.kind]
-    return [Server(b.id, zones(b.zone), cells((b.zone, b.cell)), kinds.index(b.kind), b.size or 1.0,
-                   unix_to_us(b.started_ms) if b.started_ms else 0, MODES[b.mode]) for b in boxes]
+    return [
+        Server(
+            b.id,
+            zones(b.zone),
+            cells((b.zone, b.cell)),
+            kinds.index(b.kind),
+            b.size or 1.0,
+            unix_to_us(b.started_ms) if b.started_ms else 0,
+            MODES[b.mode],
+        )
+        for b in boxes
+    ]
 
 
 def row_of_found(found, settings, zones, cells, unix_to_us):
@@ -389,26 +452,59 @@
     name = name or settings.dns.kind or (kinds[0] if len(kinds) == 1 else None)
     if name not in kinds:
         raise ValueError(f"kind {name!r} is none of {', '.join(kinds)}" if name else "its records tell neither kind nor role")
-    return Server(found.id, zones(found.zone), cells((found.zone, found.cell)), kinds.index(name), found.size,
-                  unix_to_us(found.gen_ms) if found.gen_ms else 0, "draining" if found.draining else "ready")
+    return Server(
+        found.id,
+        zones(found.zone),
+        cells((found.zone, found.cell)),
+        kinds.index(name),
+        found.size,
+        unix_to_us(found.gen_ms) if found.gen_ms else 0,
+        "draining" if found.draining else "ready",
+    )
 
 
 def router_settings(s, zones):
     """What `Router(seed, settings, now_us)` is given."""
-    groups = [EndpointGroup(g.name, EFFECTS[g.effect], SCOPES[g.repeat_scope], g.repeat_window_ms * MS,
-                            g.target_ms * MS, g.target_per_1000_ms * MS, g.token_target_ms * MS, g.importance,
-                            g.late_importance) for g in s.group]
+    groups = [
+        EndpointGroup(
+            g.name,
+            EFFECTS[g.effect],
+            SCOPES[g.repeat_scope],
+            g.repeat_window_ms * MS,
+            g.target_ms * MS,
+            g.target_per_1000_ms * MS,
+            g.token_target_ms * MS,
+            g.importance,
+            g.late_importance,
+        )
+        for g in s.group
+    ]
     return {
-        "balancers": s.gateway.gateways, "me": s.gateway.index, "az": zones(s.gateway.zone),
-        "resolution_us": s.limits.margin_ms * MS, "groups": groups,
+        "balancers": s.gateway.gateways,
+        "me": s.gateway.index,
+        "az": zones(s.gateway.zone),
+        "resolution_us": s.limits.margin_ms * MS,
+        "groups": groups,
         "tenants": [{"name": t.name, "quota_rps": t.quota_rps or 1e9} for t in s.tenant],
-        "membership_mode": "automatic", "kinds": [k.name for k in s.kind],
-        "limits": {"max_attempts": s.limits.max_forwards, "retry_after": True, "cancel": not s.limits.keep_forwards,
-                   "max_retry_after_us": s.limits.max_come_back_ms * MS},
-        "rules": {"cold_from": s.rules.cold_from, "ramp_time_us": s.rules.ramp_ms * MS,
-                  "fall_multiple": s.rules.fall_multiple, "overload_for_us": s.rules.overload_ms * MS},
+        "membership_mode": "automatic",
+        "kinds": [k.name for k in s.kind],
+        "limits": {
+            "max_attempts": s.limits.max_forwards,
+            "retry_after": True,
+            "cancel": not s.limits.keep_forwards,
+            "max_retry_after_us": s.limits.max_come_back_ms * MS,
+        },
+        "rules": {
+            "cold_from": s.rules.cold_from,
+            "ramp_time_us": s.rules.ramp_ms * MS,
+            "fall_multiple": s.rules.fall_multiple,
+            "overload_for_us": s.rules.overload_ms * MS,
+        },
         "penalties": {"cross_zone": s.prices.cross_zone},
-        "family_info": {"duty_by_kind": [ROLES[k.role] for k in s.kind], "far_price": s.prices.far,
-                        "kind_memory_tokens": [k.memory_tokens for k in s.kind],
-                        "let_go_by_us": s.rules.let_go_ms * MS},
+        "family_info": {
+            "duty_by_kind": [ROLES[k.role] for k in s.kind],
+            "far_price": s.prices.far,
+            "kind_memory_tokens": [k.memory_tokens for k in s.kind],
+            "let_go_by_us": s.rules.let_go_ms * MS,
+        },
     }
--- a/lapiswing/standin/box.py
+++ b/lapiswing/standin/box.py
@@ -1,4 +1,5 @@
 """One stand-in box: reads prompts, holds read states, writes answers in steps, and fails on demand."""
+
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 from zlib import crc32
@@ -14,8 +15,24 @@
 from lapiswing.transfer.agent import Agent
 
 MS = 1000
-WORDS = ("soup", "rice", "beans", "bread", "salad", "apple", "plum", "tea", "leek", "kale", "oats", "figs", "corn",
-         "peas", "mint", "nuts")
+WORDS = (
+    "soup",
+    "rice",
+    "beans",
+    "bread",
+    "salad",
+    "apple",
+    "plum",
+    "tea",
+    "leek",
+    "kale",
+    "oats",
+    "figs",
+    "corn",
+    "peas",
+    "mint",
+    "nuts",
+)
 STATE_KEPT_US = 8_000_000  # a state that nobody took or released goes by itself after this
 BYTES_PER_TOKEN = 4.0
 
@@ -23,6 +40,7 @@
 @dataclass
 class BoxSpec:
     """Sizes are tokens, rates a second. `rate` is how many reqs a second it serves warm: what the cold rule counts in."""
+
     id: str
     role: str = "both"
     zone: str = "a"
@@ -129,8 +147,7 @@
     def start_agent(self):
         """Its states are real bytes, and go to other boxes over a relay that the fault script can spoil."""
         spec = self.spec
-        self.agent = Agent(self.loop, spec.id, [b"stand-ins"], spec.memory * spec.state_bytes * 2, 65536,
-                           plain=spec.plain_moves)
+        self.agent = Agent(self.loop, spec.id, [b"stand-ins"], spec.memory * spec.state_bytes * 2, 65536, plain=spec.plain_moves)
         self.agent.on_taken = lambda name: self.drop_state(name, "taken")
         if self.started_us:
             self.agent.cold_until_us = self.started_us + round(spec.ramp_ms * MS)
@@ -183,8 +200,13 @@
     def load(self):
         waiting = len(self.read_line) + len(self.write_line)
         inflight = waiting + len(self.running) + (self.reading is not None)
-        return {"inflight": inflight, "queue": waiting, "x0": round(self.held_tokens / self.spec.memory, 3),
-                "x1": round(sum(j.tokens for j in self.read_line) / 1000, 3), "draining": float(self.faults.draining)}
+        return {
+            "inflight": inflight,
+            "queue": waiting,
+            "x0": round(self.held_tokens / self.spec.memory, 3),
+            "x1": round(sum(j.tokens for j in self.read_line) / 1000, 3),
+            "draining": float(self.faults.draining),
+        }
 
     def load_header(self):
         return (b"x-load", ", ".join(f"{k}={v:g}" for k, v in self.load().items()).encode())
@@ -257,8 +279,9 @@
 
     def refuse(self, job, why):
         self.end(job, "refused", why=why.decode())
-        job.exchange.json(503, {"error": {"message": why.decode(), "type": "server_error"}},
-                          more=[(b"x-refusal", why), self.load_header()])
+        job.exchange.json(
+            503, {"error": {"message": why.decode(), "type": "server_error"}}, more=[(b"x-refusal", why), self.load_header()]
+        )
 
     def answer_error(self, job, status, why):
         self.end(job, "error")
@@ -341,8 +364,7 @@
         return out
 
     def kept_of(self, job):
-        return min(max((tokens for digest, tokens in self.chain(job) if digest in self.kept), default=0),
-                   job.tokens - 1)
+        return min(max((tokens for digest, tokens in self.chain(job) if digest in self.kept), default=0), job.tokens - 1)
 
     def keep(self, job):
         for digest, tokens in self.chain(job):
@@ -376,18 +398,37 @@
             job.exchange.abort()
             return self.begin_read()
         self.end(job, "read", kept=job.kept)
-        job.exchange.json(200, {
-            "id": f"chatcmpl-{job.name}", "object": "chat.completion", "created": 0, "model": job.call.model,
-            "choices": [{"index": 0, "finish_reason": "length",
-                         "message": {"role": "assistant", "content": job.word(job.at)}}],
-            "usage": {"prompt_tokens": job.tokens, "completion_tokens": 1, "total_tokens": job.tokens + 1,
-                      "prompt_tokens_details": {"cached_tokens": job.kept}},
-            "kv_transfer_params": {"do_remote_prefill": True, "do_remote_decode": False,
-                                   "remote_engine_id": self.spec.id, "remote_block_ids": [job.seed % 65536],
-                                   "remote_host": self.host, "remote_port": self.port,
-                                   "remote_request_id": job.name, "remote_cell": self.spec.cell,
-                                   "transfer_port": self.relay.address[1] if self.relay else None,
-                                   "remote_zone": self.spec.zone}}, more=[self.load_header()])
+        job.exchange.json(
+            200,
+            {
+                "id": f"chatcmpl-{job.name}",
+                "object": "chat.completion",
+                "created": 0,
+                "model": job.call.model,
+                "choices": [
+                    {"index": 0, "finish_reason": "length", "message": {"role": "assistant", "content": job.word(job.at)}}
+                ],
+                "usage": {
+                    "prompt_tokens": job.tokens,
+                    "completion_tokens": 1,
+                    "total_tokens": job.tokens + 1,
+                    "prompt_tokens_details": {"cached_tokens": job.kept},
+                },
+                "kv_transfer_params": {
+                    "do_remote_prefill": True,
+                    "do_remote_decode": False,
+                    "remote_engine_id": self.spec.id,
+                    "remote_block_ids": [job.seed % 65536],
+                    "remote_host": self.host,
+                    "remote_port": self.port,
+                    "remote_request_id": job.name,
+                    "remote_cell": self.spec.cell,
+                    "transfer_port": self.relay.address[1] if self.relay else None,
+                    "remote_zone": self.spec.zone,
+                },
+            },
+            more=[self.load_header()],
+        )
         self.begin_read()
 
     # ---- states
@@ -440,8 +481,13 @@
         if p.get("transfer_port") and self.agent is not None:
             now = self.loop.clock.now_us()
             self.moves[job] = self.agent.fetch(
-                p.get("remote_request_id"), [(p.get("remote_host"), p["transfer_port"])], now + 300 * MS, now + 1500 * MS,
-                lambda move: self.has_moved(job, move), offers=self.offers(job))
+                p.get("remote_request_id"),
+                [(p.get("remote_host"), p["transfer_port"])],
+                now + 300 * MS,
+                now + 1500 * MS,
+                lambda move: self.has_moved(job, move),
+                offers=self.offers(job),
+            )
             return
         Fetch(self, job, (p.get("remote_host"), p.get("remote_port")), p.get("remote_request_id"))
 
@@ -455,8 +501,7 @@
         self.moves.pop(job, None)
         if move.why is None:
             state = {"seed": int.from_bytes(move.memory[:4], "big")}
-            self.put("moved", name=job.name, lab=job.lab, ms=(self.loop.clock.now_us() - move.start_us) // MS,
-                     breaks=move.breaks)
+            self.put("moved", name=job.name, lab=job.lab, ms=(self.loop.clock.now_us() - move.start_us) // MS, breaks=move.breaks)
             move.free()
         else:
             state = None
@@ -540,8 +585,15 @@
         exchange.send(self.chunk(job, {}, job.stop))
         if job.call.include_usage:
             made = job.at - job.done_words
-            exchange.send(event({**self.frame(job), "choices": [], "usage": {
-                "prompt_tokens": job.tokens, "completion_tokens": made, "total_tokens": job.tokens + made}}))
+            exchange.send(
+                event(
+                    {
+                        **self.frame(job),
+                        "choices": [],
+                        "usage": {"prompt_tokens": job.tokens, "completion_tokens": made, "total_tokens": job.tokens + made},
+                    }
+                )
+            )
         exchange.send(DONE)
         self.stop(job, "done")
         exchange.end()
@@ -568,8 +620,7 @@
         elif kind == "line":
             self.pour(stream, b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\ndata: ", b"a" * 65536, 1600)
         elif kind == "json":
-            job.exchange.respond(200, b"[[[{", content_type=b"application/json" if job.stage == "read"
-                                 else b"text/event-stream")
+            job.exchange.respond(200, b"[[[{", content_type=b"application/json" if job.stage == "read" else b"text/event-stream")
         else:
             stream.write(b"\x00\xff\x13 nothing that is HTTP \r\n\r\n")
             stream.close()
@@ -582,6 +633,7 @@
                 if not stream.full:
                     stream.write(part)
                 self.loop.call_later(1000, more, left - 1)
+
         more(times)
 
 
@@ -590,8 +642,9 @@
 
     def __init__(self, box, job, address, name):
         self.box, self.job, self.status, self.parts = box, job, None, []
-        self.exchange = box.pool.request((str(address[0]), int(address[1] or 0)), b"GET",
-                                         f"/v1/states/{name}".encode(), [], b"", self)
+        self.exchange = box.pool.request(
+            (str(address[0]), int(address[1] or 0)), b"GET", f"/v1/states/{name}".encode(), [], b"", self
+        )
         self.timer = box.loop.call_later(1_000_000, self.late)
 
     def late(self):
--- a/lapiswing/standin/demo.py
+++ b/lapiswing/standin/demo.py
@@ -1,4 +1,5 @@
 """The demo's files: settings of a gateway and a fleet of stand-ins, on free ports of this machine."""
+
 import tempfile
 from pathlib import Path
 
@@ -25,11 +26,16 @@
     readers = max(1, count * 2 // 5)
     rows = [(f"127.0.0.1:{p}", "read" if i < readers else "write") for i, p in enumerate(free_ports(count))]
     folder = Path(tempfile.mkdtemp(prefix="lapiswing-demo-"))
-    fleet = {"boxes": [{"id": i, "role": role, "step_ms": 25} for i, role in rows],
-             "models": {"order-set": {"scope": "all", "window_ms": 5000}}}
+    fleet = {
+        "boxes": [{"id": i, "role": role, "step_ms": 25} for i, role in rows],
+        "models": {"order-set": {"scope": "all", "window_ms": 5000}},
+    }
     (folder / "fleet.json").write_bytes(orjson.dumps(fleet))
-    text = SETTINGS.format(port=port, boxes="".join(
-        f'box {{ id: "{i}" kind: "{"prefill" if role == "read" else "decode"}" zone: "a" cell: "a" }}\n'
-        for i, role in rows))
+    text = SETTINGS.format(
+        port=port,
+        boxes="".join(
+            f'box {{ id: "{i}" kind: "{"prefill" if role == "read" else "decode"}" zone: "a" cell: "a" }}\n' for i, role in rows
+        ),
+    )
     (folder / "settings.txtpb").write_text(text)
     return folder / "settings.txtpb", folder / "fleet.json"
--- a/lapiswing/standin/fleet.py
+++ b/lapiswing/standin/fleet.py
@@ -6,6 +6,7 @@
 with `do` one of slow, hang, stall, errors, lost, reset_at, garbage, refuse, drain, and for what a box sends to others
 path_slow, path_flip, path_cut, path_hold (each undone after `for_ms`, if given),
 die (returns cold after `for_ms`, if given), restart (at once cold), flush."""
+
 from dataclasses import fields as fields_of
 
 import orjson
@@ -16,11 +17,25 @@
 from lapiswing.standin.record import Record
 
 SWITCHES = {"hang": True, "stall": True, "refuse": True, "drain": True, "path_hold": True}
-DOES = {*SWITCHES, "path_slow", "path_flip", "path_cut", "slow", "errors", "lost", "reset_at", "garbage", "die", "restart", "flush"}
+DOES = {
+    *SWITCHES,
+    "path_slow",
+    "path_flip",
+    "path_cut",
+    "slow",
+    "errors",
+    "lost",
+    "reset_at",
+    "garbage",
+    "die",
+    "restart",
+    "flush",
+}
 
 
 class FleetError(OperatorError):
     """A fleet file that can't be played; the text names the entry."""
+
     exit_code = 2
     advice = "Mend the named entry; lapiswing/standin/fleet.py lists what a fleet file may hold."
 
--- a/lapiswing/standin/nameserver.py
+++ b/lapiswing/standin/nameserver.py
@@ -1,5 +1,6 @@
 """A stand-in DNS server on loopback, UDP and TCP, with faults (each a field that may be changed at any time):
 silent; garbage (bytes, id, question, loop, sender); rcode; truncate (over UDP); drip_ms (TCP, a byte at a time); delay_ms; cut_tcp."""
+
 import selectors
 import socket
 
@@ -131,7 +132,7 @@
         wire = len(wire).to_bytes(2, "big") + wire
         self.raw = b""
         if self.server.cut_tcp:
-            self.stream.write(wire[:len(wire) // 2])
+            self.stream.write(wire[: len(wire) // 2])
             return self.stream.close()
         if self.server.drip_ms:
             return self.drip(wire, 0)
@@ -139,7 +140,7 @@
 
     def drip(self, wire, at):
         if at < len(wire) and not self.stream.closed:
-            self.stream.write(wire[at:at + 1])
+            self.stream.write(wire[at : at + 1])
             self.server.loop.call_later(self.server.drip_ms * 1000, self.drip, wire, at + 1)
 
     def on_eof(self):
--- a/lapiswing/standin/platform.py
+++ b/lapiswing/standin/platform.py
@@ -2,6 +2,7 @@
 Written from the platform's protocol page; they say what they saw, and misbehave where a test tells them to.
 
 A model server's `fault(exchange)` is asked first for each request; where it returns true it has taken it over."""
+
 import orjson
 
 from lapiswing.http1 import Limits, Server
@@ -29,8 +30,16 @@
         self.address = "127.0.0.1:%d" % self.server.listener.address[1]
 
     def row(self):
-        return {"name": self.name, "address": self.address, "zone": self.zone, "type": self.role, "group": self.group,
-                "status": self.status, "weight": 1.0, "since_ms": self.since_ms}
+        return {
+            "name": self.name,
+            "address": self.address,
+            "zone": self.zone,
+            "type": self.role,
+            "group": self.group,
+            "status": self.status,
+            "weight": 1.0,
+            "since_ms": self.since_ms,
+        }
 
     def more(self):
         return [(b"srv-load", self.load)] if self.load else []
@@ -83,13 +92,17 @@
     @staticmethod
     def event(number):
         return b"data: %b\n\n" % orjson.dumps(
-            {"choices": [{"index": 0, "delta": {"content": f"w{number} "}, "finish_reason": None}]})
+            {"choices": [{"index": 0, "delta": {"content": f"w{number} "}, "finish_reason": None}]}
+        )
 
     def whole(self):
         """The bytes of a whole stream."""
         usage = {"prompt_tokens": 8, "completion_tokens": 8, "prompt_tokens_details": {"cached_tokens": 0}}
-        return b"".join(self.event(i) for i in range(self.events)) + b"data: %b\n\ndata: [DONE]\n\n" % orjson.dumps(
-            {"choices": [], "usage": usage}) + (b": Srv-Load: " + self.load + b"\n\n" if self.load else b"")
+        return (
+            b"".join(self.event(i) for i in range(self.events))
+            + b"data: %b\n\ndata: [DONE]\n\n" % orjson.dumps({"choices": [], "usage": usage})
+            + (b": Srv-Load: " + self.load + b"\n\n" if self.load else b"")
+        )
 
     def step(self, exchange, number):
         if exchange.over:
@@ -99,7 +112,7 @@
         if number < self.events:
             exchange.send(self.event(number))
             return self.platform.loop.call_later(self.pause_us, self.step, exchange, number + 1)
-        exchange.send(self.whole()[sum(len(self.event(i)) for i in range(self.events)):])
+        exchange.send(self.whole()[sum(len(self.event(i)) for i in range(self.events)) :])
         exchange.end()
 
 
@@ -176,8 +189,9 @@
 
     def seen(self, *methods):
         """All (server, method, target, id, body) that model servers saw, in each one's order."""
-        return [(s.name, *row) for s in [*self.retired, *self.servers.values()] for row in s.seen
-                if not methods or row[0] in methods]
+        return [
+            (s.name, *row) for s in [*self.retired, *self.servers.values()] for row in s.seen if not methods or row[0] in methods
+        ]
 
     def close(self):
         for server in self.servers.values():
--- a/lapiswing/standin/record.py
+++ b/lapiswing/standin/record.py
@@ -1,4 +1,5 @@
 """Records of traffic: one JSON object a line, with the machine's monotonic time."""
+
 import orjson
 
 
--- a/lapiswing/standin/relay.py
+++ b/lapiswing/standin/relay.py
@@ -3,6 +3,7 @@
 Faults (each a field that may be changed at any time): delay_ms, rate (bytes a second), cut_after (bytes, then both sides
 are reset), cut_every_ms, flip (byte offsets towards the client, or a probability), hold (half open: nothing passes, nobody
 is told), truncate_after (bytes, then a tidy end), twice (offsets at which the next 64 bytes come twice)."""
+
 from random import Random
 
 from lapiswing.loop import Listener, connect, listen_socket
@@ -70,12 +71,12 @@
         for at in relay.twice_at:
             if start <= at < self.passed:
                 cut = at - start
-                data = data[:cut] + data[cut:cut + 64] + data[cut:]
+                data = data[:cut] + data[cut : cut + 64] + data[cut:]
         if relay.cut_after is not None and self.passed >= relay.cut_after:
-            self.client.put(data[:max(0, relay.cut_after - start)])
+            self.client.put(data[: max(0, relay.cut_after - start)])
             return self.loop.call_later(5000, self.end)
         if relay.truncate_after is not None and self.passed >= relay.truncate_after:
-            self.client.put(data[:max(0, relay.truncate_after - start)])
+            self.client.put(data[: max(0, relay.truncate_after - start)])
             self.loop.soon(self.client.stream.close)
             return
         self.client.put(data)
--- a/lapiswing/standin/wire.py
+++ b/lapiswing/standin/wire.py
@@ -3,6 +3,7 @@
 place of `to`.
 
 Fields that may be changed at any time: those of Fates, and cut (nothing passes, nobody is told)."""
+
 from random import Random
 
 from lapiswing.fleet.transport import Streams
--- a/lapiswing/state/memory.py
+++ b/lapiswing/state/memory.py
@@ -1,5 +1,6 @@
 """Between the core, the operators' acts and the store. Without a store (`engine` None) nothing is remembered, as said in the
 settings; with one that can't write, calls with a key are pushed back, unless the settings say that they go on."""
+
 import msgspec
 import orjson
 
@@ -104,8 +105,16 @@
         rows = ((k, self.engine.value_of(k, e), e[3]) for k, e in self.engine.index.range(b"", None, self.engine.now_ms()))
         found = records.restore(rows, now)
         for key, state, fingerprint, window_us, wide, sent, ends, answer in found.keys:
-            entry = repeats.restore(key, fingerprint, window_us, wide, "done" if state == records.DONE else "doubted",
-                                    self.to_us(sent), self.to_us(ends), Kept(answer) if answer else None)
+            entry = repeats.restore(
+                key,
+                fingerprint,
+                window_us,
+                wide,
+                "done" if state == records.DONE else "doubted",
+                self.to_us(sent),
+                self.to_us(ends),
+                Kept(answer) if answer else None,
+            )
             if entry is not None:
                 entry.noted_ms = sent
         membership.ordered |= set(found.drains)
--- a/lapiswing/state/records.py
+++ b/lapiswing/state/records.py
@@ -10,6 +10,7 @@
     its outcome                          not before anything: without it the intent stands, and the call is in doubt, which may
                                          cost a client an answer that was already given, but never a second run
     an operator's drain or cap           before the operator is told that it is done"""
+
 from typing import NamedTuple
 
 import msgspec
@@ -64,7 +65,8 @@
     """-> (record's bytes, until when it is kept). Until the longest doubt is over: it may be sent at the last moment."""
     window = entry.window_us // 1000
     return msgspec.msgpack.encode(KeyRecord(RUNNING, entry.print, window, entry.wide, sent_unix_ms)), unix_ms + (
-        DOUBT_WINDOWS + 2) * window + 60_000
+        DOUBT_WINDOWS + 2
+    ) * window + 60_000
 
 
 def outcome(entry, state, sent_unix_ms, unix_ms, answer):
--- a/lapiswing/store/engine.py
+++ b/lapiswing/store/engine.py
@@ -8,13 +8,30 @@
 Modes: `good`; `full`: the disk is, writes are refused and tried again now and then; `failed`: a write or sync failed otherwise,
 writes are refused until the store is opened anew, for after a failed sync nobody knows what is on the disk; `closed`. Reads go on
 in all of them but the last."""
+
 import time
 from errno import EDQUOT, ENOSPC
 from itertools import islice
 
 from lapiswing.errors import OperatorError
-from lapiswing.store.format import (FRAME, HEAD, HINT, INLINE, MANIFEST, Damaged, Hint, Manifest, NewerVersion,
-                                    frame, frames, outer, read_frame, read_outer, read_segment_head, segment_head)
+from lapiswing.store.format import (
+    FRAME,
+    HEAD,
+    HINT,
+    INLINE,
+    MANIFEST,
+    Damaged,
+    Hint,
+    Manifest,
+    NewerVersion,
+    frame,
+    frames,
+    outer,
+    read_frame,
+    read_outer,
+    read_segment_head,
+    segment_head,
+)
 from lapiswing.store.index import Index
 
 SEGMENT_BYTES = 4 << 20
@@ -28,11 +45,13 @@
 
 class StoreError(OperatorError):
     """`kind`: locked, damaged, newer, io. `file` where it is."""
+
     advices = {
         "locked": "End the process that has it open, or name another folder in `store.folder`.",
         "damaged": "`lapiswing store verify` names what is damaged, `lapiswing store repair` keeps all that can be read.",
         "newer": "Start the newer program, or name another folder in `store.folder`.",
-        "io": "Look at the disk's state and room and at the folder's rights, then try again."}
+        "io": "Look at the disk's state and room and at the folder's rights, then try again.",
+    }
 
     def __init__(self, kind, file, text):
         super().__init__(file, text, self.advices[kind])
@@ -59,8 +78,9 @@
 
 
 class Engine:
-    def __init__(self, files, worker, now_ms=lambda: time.time_ns() // 1_000_000, segment_bytes=SEGMENT_BYTES, log=None,
-                 durable=True):
+    def __init__(
+        self, files, worker, now_ms=lambda: time.time_ns() // 1_000_000, segment_bytes=SEGMENT_BYTES, log=None, durable=True
+    ):
         """`durable` False leaves syncs out: for measurements only."""
         self.files, self.worker, self.wall, self.segment_bytes = files, worker, now_ms, segment_bytes
         self.log, self.sync = log or (lambda event, **fields: None), durable
@@ -69,8 +89,16 @@
         self.seq = self.durable = self.generation = 0
         self.waiting, self.waiting_bytes, self.busy, self.held = [], 0, False, None
         self.segments, self.active, self.compacting, self.rows = [], None, False, {}
-        self.counts = {"puts": 0, "groups": 0, "refused": 0, "compacted": 0, "copied": 0, "expired": 0, "cut bytes": 0,
-                       "hints used": 0}
+        self.counts = {
+            "puts": 0,
+            "groups": 0,
+            "refused": 0,
+            "compacted": 0,
+            "copied": 0,
+            "expired": 0,
+            "cut bytes": 0,
+            "hints used": 0,
+        }
         self.pins = []
 
     def now_ms(self):
@@ -91,7 +119,9 @@
                 logs = [n for n in names if n.endswith(".log")]
                 # A first start that was cut has a bare head at most, for the manifest is there before anything is put.
                 if logs and (logs != [segment_name(1)] or len(self.files.read(logs[0])) > HEAD.size):
-                    raise StoreError("damaged", "MANIFEST", "is missing, but there are segments; `lapiswing store repair` makes one")
+                    raise StoreError(
+                        "damaged", "MANIFEST", "is missing, but there are segments; `lapiswing store repair` makes one"
+                    )
                 self.new_segment(1)
                 self.write_manifest([(1, None)])
         except OSError as problem:
@@ -206,8 +236,7 @@
 
     def note(self, key, at, value, expires):
         """For the present segment's hint: what its last word on a key is."""
-        self.rows[key] = (-1, 0, 0, None) if value is None else (
-            at, len(value), expires, value if len(value) <= INLINE else None)
+        self.rows[key] = (-1, 0, 0, None) if value is None else (at, len(value), expires, value if len(value) <= INLINE else None)
 
     def refuse(self, why):
         """It could not be opened: from now on it holds nothing and takes nothing."""
@@ -314,6 +343,7 @@
             if self.sync:
                 self.files.sync(fd)
             return fd
+
         self.worker.submit(job, lambda fd, problem: self.written(group, places, number, fd, start + len(data), roll, problem))
 
     def begin_segment(self, number):
@@ -389,6 +419,7 @@
 
         def job():
             self.files.put(hint_name(number), outer(HINT, Hint(*hint, [(k, *row) for k, row in rows.items()])))
+
         self.worker.submit(job, lambda _, problem: None)  # without it the start only takes longer
 
     # ---- compaction
@@ -460,6 +491,7 @@
                 self.busy = False
                 state.append(problem)
                 self.flush()
+
             self.worker.submit(job, switched)
             while not state:
                 yield False
@@ -479,6 +511,7 @@
                         self.files.remove(name)
                     except FileNotFoundError:
                         pass
+
             self.worker.submit(clear, lambda _, problem: None)
         finally:
             self.compacting = False
--- a/lapiswing/store/files.py
+++ b/lapiswing/store/files.py
@@ -1,4 +1,5 @@
 """The file layer: all that the store asks of a file system. Paths are names within one folder. Every call may raise OSError."""
+
 import fcntl
 import os
 
--- a/lapiswing/store/format.py
+++ b/lapiswing/store/format.py
@@ -11,6 +11,7 @@
          inline value or nil], ...]] of a segment that is closed
 
 All numbers big endian. Sources: none; the format is this project's own."""
+
 import struct
 from typing import NamedTuple
 
@@ -55,7 +56,7 @@
     """Raises Damaged."""
     if len(data) < HEAD.size:
         raise Damaged("the head is cut")
-    mark, version, _, found, check = HEAD.unpack(data[:HEAD.size])
+    mark, version, _, found, check = HEAD.unpack(data[: HEAD.size])
     if mark != SEGMENT or xxhash.xxh32_intdigest(data[:12]) != check:
         raise Damaged("damaged head")
     if version > VERSION:
@@ -85,7 +86,7 @@
     if mark != MARK or length > MOST_BODY or end > len(data):
         raise Damaged("no frame")
     body = bytes(data[body_at:end])
-    if check_of(bytes(data[at + 4:at + 24]), body, number) != check:
+    if check_of(bytes(data[at + 4 : at + 24]), body, number) != check:
         raise Damaged("damaged frame")
     try:
         unix_ms, items = decode(body, type=tuple[int, list[tuple[bytes, bytes | None, int]]])
@@ -136,8 +137,8 @@
     """Raises Damaged."""
     if len(data) < OUTER.size:
         raise Damaged("cut")
-    found, version, _, check = OUTER.unpack(data[:OUTER.size])
-    body = data[OUTER.size:]
+    found, version, _, check = OUTER.unpack(data[: OUTER.size])
+    body = data[OUTER.size :]
     if found != mark:
         raise Damaged("another kind of file")
     if version > VERSION:
--- a/lapiswing/store/index.py
+++ b/lapiswing/store/index.py
@@ -2,6 +2,7 @@
 
 Entries are (segment, at, size, expires, value): where the frame's body begins and its size, and the value itself where it is small;
 `at` is None while it is only on its way to the disk, and the value is then here whatever its size."""
+
 from sortedcontainers import SortedDict
 
 
@@ -93,7 +94,8 @@
 
     def range(self, start, end, now_ms):
         keys = set(self.index.keys.irange(start, end, (True, False))) | {
-            k for k in self.old if k >= start and (end is None or k < end)}
+            k for k in self.old if k >= start and (end is None or k < end)
+        }
         for key in sorted(keys):
             entry = self.get(key, now_ms)
             if entry is not None:
--- a/lapiswing/store/memory.py
+++ b/lapiswing/store/memory.py
@@ -1,5 +1,6 @@
 """A store that keeps nothing: the engine's face over a dict, for a copy without a disk. What it holds is gone
 with the process."""
+
 import time
 
 from sortedcontainers import SortedDict
@@ -71,7 +72,7 @@
         now_ms = self.now_ms()
         over = [k for k, (_, expires) in self.rows.items() if 0 < expires <= now_ms]
         for i in range(0, len(over), most):
-            self.put([(k, None, 0) for k in over[i:i + most]])
+            self.put([(k, None, 0) for k in over[i : i + most]])
             yield
 
     def close(self):
--- a/lapiswing/store/tools.py
+++ b/lapiswing/store/tools.py
@@ -1,12 +1,12 @@
 """Looking at a store that no program has open, and mending one. Nothing here guesses: what can't be read is told, or, by `repair`,
 left out with everything that came after it in its segment."""
+
 import os
 from typing import NamedTuple
 
 from lapiswing.store.engine import Engine, StoreError, hint_name, segment_name, take_lock
 from lapiswing.store.files import Files
-from lapiswing.store.format import (HEAD, HINT, MANIFEST, Damaged, Hint, Manifest, frames, outer, read_outer,
-                                    read_segment_head)
+from lapiswing.store.format import HEAD, HINT, MANIFEST, Damaged, Hint, Manifest, frames, outer, read_outer, read_segment_head
 from lapiswing.store.work import Inline
 
 
@@ -58,8 +58,14 @@
                 end, claimed = item
                 if end < len(data):
                     bad = claimed or number != last
-                    found.append(Finding(name, bad, f"from byte {end} on " + (
-                        "what was on the disk can't be read" if bad else f"a torn end of {len(data) - end} bytes")))
+                    found.append(
+                        Finding(
+                            name,
+                            bad,
+                            f"from byte {end} on "
+                            + ("what was on the disk can't be read" if bad else f"a torn end of {len(data) - end} bytes"),
+                        )
+                    )
             else:
                 counts["frames"] += 1
                 seq = item.seq
@@ -131,8 +137,10 @@
                     seq = item.seq
             rows.append((number, end))
             if end < len(data):
-                told.append(f"{name}: cut at byte {end} of {len(data)}" + ("" if name == (wanted or logs)[-1] else
-                                                                        "; nothing after it is taken"))
+                told.append(
+                    f"{name}: cut at byte {end} of {len(data)}"
+                    + ("" if name == (wanted or logs)[-1] else "; nothing after it is taken")
+                )
                 break
         for name in files.names():
             if name != "LOCK":
--- a/lapiswing/store/work.py
+++ b/lapiswing/store/work.py
@@ -2,6 +2,7 @@
 
 `submit(job, done)`: `job()` runs, then `done(result, problem)` is called, in the order of submission; `problem` is the OSError that it
 raised, or None. The worker's queue is bounded by its users: the store submits one job at a time."""
+
 import queue
 import selectors
 import socket
--- a/lapiswing/tasks/decide.py
+++ b/lapiswing/tasks/decide.py
@@ -12,8 +12,21 @@
 
 
 class Job:
-    __slots__ = ("name", "priority", "share", "bytes_s", "due_us", "added_us", "ran_us", "left_us", "left_bytes", "at_us",
-                 "slices", "spent_us", "moved")
+    __slots__ = (
+        "name",
+        "priority",
+        "share",
+        "bytes_s",
+        "due_us",
+        "added_us",
+        "ran_us",
+        "left_us",
+        "left_bytes",
+        "at_us",
+        "slices",
+        "spent_us",
+        "moved",
+    )
 
     def __init__(self, name, priority, now_us, share=1.0, bytes_s=None, due_us=None):
         self.name, self.priority, self.share, self.bytes_s, self.due_us = name, priority, share, bytes_s, due_us
@@ -68,6 +81,11 @@
 
 def next_look_us(jobs, now_us):
     """When none may run now: how long until one may, so that the loop need not turn for nothing."""
-    waits = [max(0 if j.left_us > 0 else -j.left_us / j.share, 0 if not j.bytes_s or j.left_bytes > 0 else
-                 -j.left_bytes / j.bytes_s * 1e6) for j in jobs]
+    waits = [
+        max(
+            0 if j.left_us > 0 else -j.left_us / j.share,
+            0 if not j.bytes_s or j.left_bytes > 0 else -j.left_bytes / j.bytes_s * 1e6,
+        )
+        for j in jobs
+    ]
     return max(1000, min(int(min(waits, default=SPAN_US)) + 1000, 50_000))
