--- a/tests/test_websocket.py
+++ b/tests/test_websocket.py
@@ -1,4 +1,5 @@
 """Sessions over sockets, with the client library `websocket-client`; bare bytes where the library would not misbehave."""
+
 import base64
 import json
 import os
@@ -35,8 +36,12 @@
 class Session:
     def __init__(self, port, key="demo", **more):
         self.ws = websocket.create_connection(
-            f"ws://127.0.0.1:{port}{PATH}", header=[f"Authorization: Bearer {key}"],
-            subprotocols=["lapiswing.chat.v1"], timeout=8, **more)
+            f"ws://127.0.0.1:{port}{PATH}",
+            header=[f"Authorization: Bearer {key}"],
+            subprotocols=["lapiswing.chat.v1"],
+            timeout=8,
+            **more,
+        )
         self.chunks, self.finals, self.seen, self.token, self.next = {}, {}, {}, None, {}
 
     def say(self, **fields):
@@ -105,6 +110,7 @@
             s.until(lambda s: len(s.finals) == 9)
             s.ws.close()
             return s
+
         s = Work(place, script, place.port).result
         assert {s.text(f"c{i}") for i in range(5)} == {want}
         assert s.finals["whole"]["completion"]["usage"]["completion_tokens"] == 4
@@ -113,15 +119,18 @@
         place.until(lambda: not place.gateway.sessions.book.sessions)  # an orderly close ends it
 
 
-@pytest.mark.parametrize("headers,code", [
-    ([], 401), (["Authorization: Bearer nope"], 401),
-    (["Authorization: Bearer demo", "Sec-WebSocket-Protocol: other"], 400)])
+@pytest.mark.parametrize(
+    "headers,code",
+    [([], 401), (["Authorization: Bearer nope"], 401), (["Authorization: Bearer demo", "Sec-WebSocket-Protocol: other"], 400)],
+)
 def test_refused_handshakes(headers, code):
     with Place() as place:
+
         def script(port):
             with pytest.raises(websocket.WebSocketBadStatusException) as caught:
                 websocket.create_connection(f"ws://127.0.0.1:{port}{PATH}", header=headers, timeout=5)
             return caught.value.status_code
+
         assert Work(place, script, place.port).result == code
 
 
@@ -130,7 +139,8 @@
         get = f"GET {PATH} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\nConnection: close\r\n".encode()
         assert status(Raw(place, get + b"\r\n").until()) == 426
         old = get.replace(b"Connection: close", b"Connection: Upgrade") + (
-            b"Upgrade: websocket\r\nSec-WebSocket-Key: aaaaaaaaaaaaaaaaaaaaaa==\r\nSec-WebSocket-Version: 8\r\n\r\n")
+            b"Upgrade: websocket\r\nSec-WebSocket-Key: aaaaaaaaaaaaaaaaaaaaaa==\r\nSec-WebSocket-Version: 8\r\n\r\n"
+        )
         raw = Raw(place, old)
         assert status(raw.until(lambda got: b"\r\n\r\n" in got)) == 400
 
@@ -147,12 +157,14 @@
                 s.cut()
                 s = s.back(port)
             return s.until(lambda s: s.finals)
+
         s = Work(place, script, place.port).result
         assert s.text("a") == want and s.finals["a"]["how"] == "done" and len(place.rows("ran")) == 2
 
 
 def test_a_drop_while_a_keyed_req_is_at_its_first_forward_and_after_its_final_answer():
     with Place(read_per_s=400.0) as place:
+
         def script(port):
             s = Session(port)
             s.until(lambda s: s.token)
@@ -164,6 +176,7 @@
             while len(place.rows("end", how="done")) < 2:  # both are over before it comes back
                 pass
             return s.back(port).until(lambda s: len(s.finals) == 2)
+
         s = Work(place, script, place.port).result
         assert len(s.text("a").split()) == 10 and len(place.rows("ran")) == 2
         assert {f["how"] for f in s.finals.values()} == {"done"}
@@ -171,6 +184,7 @@
 
 def test_two_connections_resume_the_same_session():
     with Place(step_ms=10.0) as place:
+
         def script(port):
             s = Session(port)
             s.call("a", chat(tokens=60))
@@ -190,6 +204,7 @@
             except (OSError, websocket.WebSocketException):
                 pass
             return two, code
+
         two, code = Work(place, script, place.port).result
         assert code == 4001 and len(two.text("a").split()) == 60
 
@@ -209,6 +224,7 @@
                 out.append(n.read()["code"])
                 out.append(n.read()["type"])  # and it goes on as a new session
             return out, s.token
+
         out, token = Work(place, script, place.port).result
         assert out == ["bad_token", "session"] * 3
 
@@ -216,6 +232,7 @@
             n = Session(port)
             n.say(type="resume", token=token)
             return n.read()
+
         said = Work(elsewhere, other, elsewhere.port).result
         assert said["code"] == "other_gateway" and "don't" in said["advice"]["pay"]
         assert set(said["advice"]) == {"question", "order", "pay"}
@@ -223,6 +240,7 @@
 
 def test_a_withdrawn_key_can_not_come_back():
     with Place() as place:
+
         def script(port):
             s = Session(port)
             s.until(lambda s: s.token)
@@ -231,17 +249,20 @@
             with pytest.raises(websocket.WebSocketBadStatusException) as caught:
                 s.back(port)
             return caught.value.status_code
+
         assert Work(place, script, place.port).result == 401
 
 
 def test_a_session_that_never_comes_back_counts_as_left():
     with Place(more="sessions { resume_ms: 400 }", step_ms=20.0) as place:
+
         def script(port):
             s = Session(port)
             s.call("a", chat("pay", tokens=500))
             s.until(lambda s: s.seen.get("a", 0) > 2)
             s.cut()
             return s
+
         old = Work(place, script, place.port).result
         place.until(lambda: place.rows("end", how="left") and not place.core.reqs)
         assert not any(b.running or b.states for b in place.fleet.boxes.values())
@@ -251,6 +272,7 @@
 
 def test_limits_are_answered_at_once():
     with Place(more="sessions { per_tenant: 1 reqs: 2 }", step_ms=20.0) as place:
+
         def script(port):
             s = Session(port)
             for i in range(3):
@@ -262,6 +284,7 @@
                 extra.read()
             other = Session(port, "other").until(lambda s: s.token)
             return s.finals["c2"], message, other
+
         final, message, other = Work(place, script, place.port).result
         assert final["how"] == "pushed_back" and final["retry_after_ms"] == 1000
         assert message["code"] == "too_many_sessions" and other.token
@@ -269,6 +292,7 @@
 
 def test_credit_stops_a_stream_and_not_its_session():
     with Place(more="sessions { stall_ms: 1500 }") as place:
+
         def script(port):
             s = Session(port)
             s.call("slow", chat(tokens=60), credit=5)
@@ -278,6 +302,7 @@
             assert s.seen["slow"] == 5
             s.say(type="credit", id="slow", events=1000)
             return s.until(lambda s: len(s.finals) == 3)
+
         s = Work(place, script, place.port).result
         assert s.text("slow") == s.text("free") and s.finals["slow"]["how"] == "done"
         assert s.finals["dead"]["how"] == "aborted"  # nobody granted it anything
@@ -286,12 +311,14 @@
 
 def test_cancel():
     with Place(step_ms=20.0) as place:
+
         def script(port):
             s = Session(port)
             s.call("a", chat(tokens=400))
             s.until(lambda s: s.seen.get("a", 0) > 2)
             s.say(type="cancel", id="a")
             return s.until(lambda s: s.finals)
+
         assert Work(place, script, place.port).result.finals["a"]["how"] == "aborted"
         place.until(lambda: place.rows("end", how="left") and not place.core.reqs)
 
@@ -300,15 +327,25 @@
     head = bytes([(0x80 if fin else 0) | rsv | op])
     size = len(data)
     bit = 0x80 if mask else 0
-    head += bytes([bit | size]) if size < 126 else bytes([bit | 126]) + struct.pack(">H", size) if size < 65536 else (
-        bytes([bit | 127]) + struct.pack(">Q", size))
+    head += (
+        bytes([bit | size])
+        if size < 126
+        else bytes([bit | 126]) + struct.pack(">H", size)
+        if size < 65536
+        else (bytes([bit | 127]) + struct.pack(">Q", size))
+    )
     return head + (mask + bytes(b ^ mask[i % 4] for i, b in enumerate(data)) if mask else data)
 
 
 def opened(place):
-    raw = Raw(place, (f"GET {PATH} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\nUpgrade: websocket\r\n"
-                      "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: "
-                      f"{base64.b64encode(os.urandom(16)).decode()}\r\n\r\n").encode())
+    raw = Raw(
+        place,
+        (
+            f"GET {PATH} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\nUpgrade: websocket\r\n"
+            "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: "
+            f"{base64.b64encode(os.urandom(16)).decode()}\r\n\r\n"
+        ).encode(),
+    )
     raw.until(lambda got: b"\r\n\r\n" in got)
     assert status(raw.got) == 101
     return raw
@@ -316,14 +353,24 @@
 
 def close_code(got):
     at = got.rfind(b"\x88")
-    return struct.unpack(">H", got[at + 2:at + 4])[0]
-
-
-@pytest.mark.parametrize("data,code", [
-    (frame(1, b"\xff\xfe"), 1007), (frame(1, b"{}", mask=b""), 1002), (frame(2, b"x"), 1003),
-    (frame(1, b"x" * 70000), 1009), (frame(0, b"x"), 1002), (frame(9, b"x" * 126), 1002),
-    (frame(9, b"x", fin=False), 1002), (frame(1, b"{}", rsv=0x40), 1002), (frame(3, b""), 1002),
-    (frame(1, b"\xe2\x82", fin=False) + frame(0, b"\xff"), 1007)])
+    return struct.unpack(">H", got[at + 2 : at + 4])[0]
+
+
+@pytest.mark.parametrize(
+    "data,code",
+    [
+        (frame(1, b"\xff\xfe"), 1007),
+        (frame(1, b"{}", mask=b""), 1002),
+        (frame(2, b"x"), 1003),
+        (frame(1, b"x" * 70000), 1009),
+        (frame(0, b"x"), 1002),
+        (frame(9, b"x" * 126), 1002),
+        (frame(9, b"x", fin=False), 1002),
+        (frame(1, b"{}", rsv=0x40), 1002),
+        (frame(3, b""), 1002),
+        (frame(1, b"\xe2\x82", fin=False) + frame(0, b"\xff"), 1007),
+    ],
+)
 def test_frames_that_end_the_connection(data, code):
     with Place(more="sessions { message_bytes: 65536 }") as place:
         raw = opened(place)
@@ -347,20 +394,36 @@
 
 def test_what_is_no_message_is_told_and_harms_nobody():
     with Place() as place:
+
         def script(port):
             s = Session(port)
             s.until(lambda s: s.token)
             out = []
-            for text in ("{", "[]", '{"type":"dance"}', '{"type":"call"}', '{"type":"call","id":7}',
-                         '{"type":"credit","id":"x"}', '{"type":"resume","token":"x"}'):
+            for text in (
+                "{",
+                "[]",
+                '{"type":"dance"}',
+                '{"type":"call"}',
+                '{"type":"call","id":7}',
+                '{"type":"credit","id":"x"}',
+                '{"type":"resume","token":"x"}',
+            ):
                 s.ws.send(text)
                 out.append(s.read()["code"])
             s.call("a", chat(tokens=2))
             s.call("a", chat(tokens=2))
             s.until(lambda s: s.finals and s.last["type"] != "events")
             return out
+
         assert Work(place, script, place.port).result == [
-            "bad_message", "bad_message", "unknown_type", "bad_message", "bad_message", "bad_message", "too_late"]
+            "bad_message",
+            "bad_message",
+            "unknown_type",
+            "bad_message",
+            "bad_message",
+            "bad_message",
+            "too_late",
+        ]
 
 
 def test_a_client_that_pings_and_never_reads_is_bounded():
@@ -401,6 +464,7 @@
                     times[i] = place.loop.clock.now_us() - start
                     raw.sock.sendall(frame(8, struct.pack(">H", 1012)))
             return len(times) == len(raws)
+
         place.until(all_gone)
         assert all(close_code(r.got) == 1012 and b'"going_away"' in r.got for r in raws)
         assert b'"how":"done"' in raws[0].got
@@ -412,6 +476,7 @@
 def test_a_session_may_come_back_while_the_gateway_drains():
     """The port stays open for as long as a dropped session has something to come back for."""
     with Place(step_ms=10.0) as place:
+
         def script(port):
             s = Session(port)
             s.call("a", chat(tokens=60))
@@ -428,6 +493,7 @@
             s = s.back(port).until(lambda s: s.finals)
             s.call("b")
             return s.until(lambda s: len(s.finals) == 2), refused
+
         stopped = []
         place.gateway.loop.stop = lambda: stopped.append(True)
         s, refused = Work(place, script, place.port).result
@@ -441,21 +507,28 @@
 def test_a_thousand_sessions_drop_together_and_return_together_while_two_boxes_are_down():
     """All of them get the rest of their answers, each once."""
     import resource
+
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 8192)), hard))
     boxes = ["read"] * 3 + ["write"] * 5
     try:
-        with Place(boxes, step_ms=60.0, per_stream_ms=0.0, slots=400, queue=400, read_queue=1200, memory=10 ** 7) as place:
+        with Place(boxes, step_ms=60.0, per_stream_ms=0.0, slots=400, queue=400, read_queue=1200, memory=10**7) as place:
             place.core.limits.max_come_back_ms = 1000
             raws = []
             for i in range(1000):
                 raws.append(opened(place))
-                raws[-1].sock.sendall(frame(1, json.dumps({"type": "call", "id": "a", "body": chat(
-                    text=f"q{i}", tokens=30)}).encode()))
+                raws[-1].sock.sendall(
+                    frame(1, json.dumps({"type": "call", "id": "a", "body": chat(text=f"q{i}", tokens=30)}).encode())
+                )
                 if i % 8 == 0:
                     place.loop.turn(0)
-            place.until(lambda: all(b'"session"' in r.read() for r in raws) and sum(
-                b'"events"' in r.got or b'"final"' in r.got for r in raws) > 900, 30)
+            place.until(
+                lambda: (
+                    all(b'"session"' in r.read() for r in raws)
+                    and sum(b'"events"' in r.got or b'"final"' in r.got for r in raws) > 900
+                ),
+                30,
+            )
             for i in (0, 3):
                 place.box(i).die()
             texts = []
@@ -497,13 +570,13 @@
     """The text messages behind a handshake, as far as they are whole."""
     data = got.split(b"\r\n\r\n", 1)[1]
     while len(data) >= 2:
-        size, at = data[1] & 0x7f, 2
+        size, at = data[1] & 0x7F, 2
         if size == 126:
             size, at = struct.unpack(">H", data[2:4])[0], 4
         elif size == 127:
             size, at = struct.unpack(">Q", data[2:10])[0], 10
         if len(data) < at + size:
             return
-        if data[0] & 0xf == 1:
-            yield json.loads(data[at:at + size])
-        data = data[at + size:]
+        if data[0] & 0xF == 1:
+            yield json.loads(data[at : at + size])
+        data = data[at + size :]
--- a/tests/trace.py
+++ b/tests/trace.py
@@ -1,4 +1,5 @@
 """Helpers of the trace tests: a writer that records decisions as lines, and a small fleet."""
+
 import os
 from pathlib import Path
 
@@ -16,6 +17,7 @@
         def record(*args):
             if name != "timer":
                 self.lines.append(" ".join([name, *map(str, args)]))
+
         return record
 
 
@@ -25,15 +27,41 @@
     def __init__(self, effect="replayable", scope="all", servers=("r0", "r1", "w2", "w3"), started_us=0, seed=7, **changes):
         group = EndpointGroup("chat", effect, scope, 5000 * MS, 1000 * MS, 40 * MS, 60 * MS, 1.0, 0.3)
         settings = {
-            "balancers": 2, "az": 0, "me": 0, "resolution_us": 4 * MS, "groups": [group], "tenants": [],
-            "over_share_worth": 0.1, "worth_by": "work", "membership_mode": "automatic",
-            "limits": {"max_attempts": 6, "retry_after": True, "max_retry_after_us": 1000 * MS, "probes": True,
-                       "cancel": True, "second_copies": True},
-            "rules": {"cold_from": 0.25, "ramp_time_us": 12000 * MS, "fall_multiple": 2.5, "answer_slack_us": 16 * MS,
-                      "overload_for_us": 1000 * MS, "stop_sending_within_us": 1000 * MS},
-            "penalties": {"cross_zone": 0.02}, "report": {"how": "off", "names": []},
-            "family_info": {"duty_by_kind": ["read", "write", "both"], "kind_memory_tokens": [200000] * 3,
-                            "far_price": 0.04, "let_go_by_us": 500 * MS, "resume": False}} | changes
+            "balancers": 2,
+            "az": 0,
+            "me": 0,
+            "resolution_us": 4 * MS,
+            "groups": [group],
+            "tenants": [],
+            "over_share_worth": 0.1,
+            "worth_by": "work",
+            "membership_mode": "automatic",
+            "limits": {
+                "max_attempts": 6,
+                "retry_after": True,
+                "max_retry_after_us": 1000 * MS,
+                "probes": True,
+                "cancel": True,
+                "second_copies": True,
+            },
+            "rules": {
+                "cold_from": 0.25,
+                "ramp_time_us": 12000 * MS,
+                "fall_multiple": 2.5,
+                "answer_slack_us": 16 * MS,
+                "overload_for_us": 1000 * MS,
+                "stop_sending_within_us": 1000 * MS,
+            },
+            "penalties": {"cross_zone": 0.02},
+            "report": {"how": "off", "names": []},
+            "family_info": {
+                "duty_by_kind": ["read", "write", "both"],
+                "kind_memory_tokens": [200000] * 3,
+                "far_price": 0.04,
+                "let_go_by_us": 500 * MS,
+                "resume": False,
+            },
+        } | changes
         self.router, self.out, self.now = Router(seed, settings, 0), Recorder(), 0
         self.at(0, ("servers", "restored", [self.server(s, started_us) for s in servers]))
 
--- a/tests/whole.py
+++ b/tests/whole.py
@@ -1,4 +1,5 @@
 """Helper of the whole-path tests: a gateway and stand-ins on one loop, and the client side of a socket."""
+
 import socket
 import struct
 import time
@@ -32,17 +33,28 @@
 class Place:
     """`with Place(roles) as place`: `place.port` is the gateway's. Times of boxes are short, so tests are quick."""
 
-    def __init__(self, roles=("read", "write", "write"), more="", resume="true", scope="ALL", loop=None, listen="", listed=True, ports=None, **box):
+    def __init__(
+        self,
+        roles=("read", "write", "write"),
+        more="",
+        resume="true",
+        scope="ALL",
+        loop=None,
+        listen="",
+        listed=True,
+        ports=None,
+        **box,
+    ):
         self.loop = loop or Loop(Clock())
         self.ids = [f"127.0.0.1:{port}" for port in ports or free_ports(len(roles))]
         quick = {"step_ms": 3.0, "read_per_s": 100000.0} | box
         zones = [chr(97 + i) for i in range(len(roles))]
         self.specs = [BoxSpec(i, role, zone=z, cell=z, **quick) for i, role, z in zip(self.ids, roles, zones)]
-        self.fleet = Fleet(self.loop, self.specs, models={
-            "order": {"scope": scope.lower(), "window_ms": 5000}})
+        self.fleet = Fleet(self.loop, self.specs, models={"order": {"scope": scope.lower(), "window_ms": 5000}})
         self.fleet.start()
-        boxes = "".join(f'box {{ id: "{s.id}" kind: "{KIND[s.role]}" zone: "{s.zone}" cell: "{s.cell}" }}\n'
-                        for s in self.specs if listed)
+        boxes = "".join(
+            f'box {{ id: "{s.id}" kind: "{KIND[s.role]}" zone: "{s.zone}" cell: "{s.cell}" }}\n' for s in self.specs if listed
+        )
         settings = load_text(SETTINGS.format(more=more + boxes, resume=resume, scope=scope, listen=listen))
         # port 0 means the default to the checked settings; a test wants a free one
         settings.listen.port = free_ports(1)[0]
@@ -137,8 +149,13 @@
 
 
 def chat(model="question", text="soup?", lab="a", stream=True, tokens=20, **more):
-    return {"model": model, "stream": stream, "messages": [{"role": "user", "content": text}],
-            "metadata": {"lab": lab, "answer_tokens": str(tokens)}, **more}
+    return {
+        "model": model,
+        "stream": stream,
+        "messages": [{"role": "user", "content": text}],
+        "metadata": {"lab": lab, "answer_tokens": str(tokens)},
+        **more,
+    }
 
 
 def words(got):
