--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -15,7 +15,7 @@
 from lapiswing.dns.browse import Browser
 from lapiswing.dns.cache import Cache
 from lapiswing.dns.resolver import Resolver
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 from lapiswing.loop import Clock, Loop
 from lapiswing.membership import Membership
 from lapiswing.membership.discover import Discovery
@@ -92,7 +92,7 @@
 def flood(n):
     members, out = Membership(), Sink()
     members.list([], 0)
-    group = EndpointGroup("g", "replayable", "all", 0, 1_000_000, 40_000, 60_000, 1.0, 0.3)
+    group = RequestClass("g", "replayable", "all", 0, 1_000_000, 40_000, 60_000, 1.0, 0.3)
     router = Router(
         1,
         {
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.target import TARGET
 from lapiswing.lab.coldfleet import heaviest
 from lapiswing.policy import Router
-from lapiswing.routing.chance import mixed
+from lapiswing.routing.randomness import hash_fraction
 
 TARGET_US, TARGET_PER_TOKEN_US, DEADLINE_US = 1200 * MS, 40, 5 * S
 PREFILL_LOAD = 0.85  # of what prefill servers could read with nothing kept
@@ -177,7 +177,7 @@
 
     def works_with(self, gateway, row):
         """A probe of subsets: each rack by a hash, so that all have about as many gateways."""
-        return not self.subset or mixed(b"%d/%d" % (gateway, row.cell)) < self.subset / len(self.servers)
+        return not self.subset or hash_fraction(b"%d/%d" % (gateway, row.cell)) < self.subset / len(self.servers)
 
     def play(self):
         end = self.seconds * S
--- a/benchmarks/scale/hollow_gateways.py
+++ b/benchmarks/scale/hollow_gateways.py
@@ -11,7 +11,7 @@
     """In place of the decisions: keeps when each change of the list was heard."""
 
     def __init__(self, seed, settings, now_us):
-        self.heard, self.reqs, self.machines, self.known = [], {}, {}, set()
+        self.heard, self.reqs, self.servers, self.known = [], {}, {}, set()
 
     def round(self, now_us, events, out):
         for event in events:
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -1,6 +1,6 @@
 """Settings and server rows as a gateway of the target's fleet is given them."""
 
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 
 MS, S = 1000, 1_000_000
 SERVERS_A_RACK = 6
@@ -10,7 +10,7 @@
 
 def router_settings(gateways, tenants=0, requests=0.0, cold_from=0.25):
     """What `Router` is given. Each tenant's share is an equal one of `requests` a second."""
-    group = EndpointGroup("chat", "replayable", "all", 5 * S, 1200 * MS, 40 * MS, 46 * MS, 1.0, 0.3)
+    group = RequestClass("chat", "replayable", "all", 5 * S, 1200 * MS, 40 * MS, 46 * MS, 1.0, 0.3)
     return {
         "balancers": gateways,
         "az": 0,
--- a/benchmarks/scale/tenants.py
+++ b/benchmarks/scale/tenants.py
@@ -31,8 +31,8 @@
     def look(request):
         nonlocal over, first, asked
         asked += 1
-        over += request.over
-        if request.over and not first:
+        over += request.over_quota
+        if request.over_quota and not first:
             first = asked
         real(request)
 
--- a/lapiswing/admin/facts.py
+++ b/lapiswing/admin/facts.py
@@ -24,7 +24,7 @@
     def boxes(self):
         core, now = self.core, self.core.loop.clock.now_us()
         words = core.membership.explain()
-        machines = getattr(core.router, "machines", {})
+        machines = getattr(core.router, "servers", {})
         ramp = self.gateway.settings.rules.ramp_ms * MS
         out = {}
         for name, row in core.membership.told.items():
@@ -47,9 +47,9 @@
                 "starts": tally.starts,
                 "cold": bool(row.started_us) and now - row.started_us < ramp,
                 "up_ms": (now - row.started_us) // MS if row.started_us else None,
-                "suspect": bool(getattr(machine, "suspect", False)),
-                "bad": round(float(getattr(machine, "bad", 0.0)), 3),
-                "kept_texts": len(getattr(machine, "kept", ())),
+                "suspect": bool(getattr(machine, "ejected", False)),
+                "bad": round(float(getattr(machine, "failure_score", 0.0)), 3),
+                "kept_texts": len(getattr(machine, "cached_prefixes", ())),
                 "memory": report.get("x0"),
                 "queue": report.get("queue"),
                 "inflight": report.get("inflight"),
@@ -61,7 +61,7 @@
         out, table = {}, getattr(self.core.router, "table", None)
         if table is None:
             return out  # a baseline that has none
-        writers = zip(table.columns.at, table.writer_shares().tolist())
+        writers = zip(table.columns.index_of, table.writer_shares().tolist())
         for part, shares in (("reads", table.share.items()), ("writes", writers)):
             for name, share in shares:
                 out.setdefault(name, {})[part] = round(share, 4)
@@ -109,8 +109,8 @@
             "hold_limit_us": gateway.settings.rules.let_go_ms * MS,
             "draining": core.draining,
             "lag_us": lag,
-            "read_wait_us": float(getattr(router, "read_mean", 0)),
-            "write_wait_us": float(getattr(router, "wait_mean", 0)),
+            "read_wait_us": float(getattr(router, "typical_read_us", 0)),
+            "write_wait_us": float(getattr(router, "typical_wait_us", 0)),
             "first_p50_ms": core.tally.first.at(0.5),
             "first_p99_ms": core.tally.first.at(0.99),
             "starts_unix_ms": self.starts,
--- a/lapiswing/admin/serve.py
+++ b/lapiswing/admin/serve.py
@@ -333,7 +333,7 @@
 
     def reasons(self, req):
         """Why it went where it went, as far as the decisions' own figures say now."""
-        boxes, shares, machines = self.facts.boxes(), self.facts.shares(), getattr(self.core.router, "machines", {})
+        boxes, shares, machines = self.facts.boxes(), self.facts.shares(), getattr(self.core.router, "servers", {})
         out = []
         for line in req.trail:
             stage, _, rest = line.partition(" ")
@@ -344,7 +344,7 @@
                 continue
             side = "reads" if stage == "read" else "writes"
             why = [f"share of {side} {shares.get(name, {}).get(side, 0):.2f}"]
-            kept = getattr(machine, "kept", {})
+            kept = getattr(machine, "cached_prefixes", {})
             if stage != "write" and req.spec.session in kept and req.spec.session is not None:
                 why.append("keeps this session's text")
             elif stage != "write" and req.spec.prefix in kept and req.spec.prefix is not None:
@@ -399,11 +399,11 @@
     def put_down(self, act, ask, what, done):
         memory = self.core.memory
         if act in ("drain", "take-back"):
-            memory.drained(what, act == "drain", done)
+            memory.record_drain(what, act == "drain", done)
         elif act == "cap":
-            memory.capped(what, ask["rps"], self.unix_ms() + round(ask.get("minutes", 60) * 60_000), done)
+            memory.record_cap(what, ask["rps"], self.unix_ms() + round(ask.get("minutes", 60) * 60_000), done)
         elif act == "uncap":
-            memory.capped(what, None, 0, done)
+            memory.record_cap(what, None, 0, done)
         else:
             done()
 
--- a/lapiswing/admission/caps.py
+++ b/lapiswing/admission/caps.py
@@ -23,7 +23,7 @@
     def lift(self, tenant):
         return self.caps.pop(tenant, None) is not None
 
-    def allows(self, now_us, tenant):
+    def retry_after_us(self, now_us, tenant):
         """-> None, or for how many us the tenant has to stay away."""
         cap = self.caps.get(tenant)
         if cap is None:
--- a/lapiswing/admission/repeats.py
+++ b/lapiswing/admission/repeats.py
@@ -44,7 +44,7 @@
         self.most, self.most_bytes, self.bytes = most, most_bytes, 0
         self.entries = {}  # ended entries are moved to the end, so that the first ended is the oldest
 
-    def ask(self, now_us, key, fingerprint, window_us, wide):
+    def look_up(self, now_us, key, fingerprint, window_us, wide):
         """`wide`: 'boxes' where every box drops repeats of it (keyed, scope all), 'always' where a repeat is harmless
         (replayable), '' elsewhere. -> (what, entry, latest_us)"""
         entry = self.entries.get(key)
@@ -79,12 +79,12 @@
             self.bytes += owner.size
         return entry
 
-    def sent(self, entry, now_us):
+    def mark_sent(self, entry, now_us):
         """Its first forward that may run an effect goes out."""
         if entry.sent_us is None:
             entry.sent_us = now_us
 
-    def done(self, entry, now_us, owner, size):
+    def mark_done(self, entry, now_us, owner, size):
         """`owner` holds the answer; it is dropped again when its bytes are needed for newer ones."""
         entry.state, entry.ends_us = "done", now_us + max(entry.window_us, 1)
         self.entries[entry.key] = self.entries.pop(entry.key)
@@ -99,14 +99,14 @@
             if other.state == "done":
                 self.shed(other)
 
-    def doubted(self, entry, now_us):
+    def mark_in_doubt(self, entry, now_us):
         if entry.sent_us is None:  # nothing that could have run was sent
-            return self.never_ran(entry)
+            return self.mark_never_ran(entry)
         entry.state, entry.owner = "doubted", None
         entry.ends_us = entry.sent_us + DOUBT_WINDOWS * entry.window_us
         self.entries[entry.key] = self.entries.pop(entry.key)
 
-    def never_ran(self, entry):
+    def mark_never_ran(self, entry):
         """Pushed back. A key whose earlier try may have run stays in doubt."""
         if entry.sent_us is not None:
             entry.state, entry.owner = "doubted", None
--- a/lapiswing/benchlink/wire.py
+++ b/lapiswing/benchlink/wire.py
@@ -120,8 +120,8 @@
 
     release_unclaimed = release  # it never drops what an attempt waits for
 
-    def retract(self, req, forward_no):
-        self.put("Retract", Req=req, Try=forward_no)
+    def retract(self, req, attempt_no):
+        self.put("Retract", Req=req, Try=attempt_no)
 
     def move(self, req):
         self.put("Move", Req=req)
--- a/lapiswing/engine/outcomes.py
+++ b/lapiswing/engine/outcomes.py
@@ -15,7 +15,7 @@
     """A transport's stage (see http1.ClientExchange) -> code."""
     return {
         "local": "moot",  # nothing was sent, for a reason of our own
-        "no way": "no_way",  # nothing was sent, as this machine could open no connection to this box
+        "no route": "no_way",  # nothing was sent, as this machine could open no connection to this box
         "connect": "unreachable",  # no connection, so no request
         "unsent": "unreachable",  # a box must not begin before it has the whole body (docs/boxes.md)
         "sent": "reset",  # the request is there, the answer is not
--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -137,7 +137,7 @@
         now = self.loop.clock.now_us()
         if self.draining or self.open >= self.limits.open_reqs:
             return self.refuse(listener)
-        stay_us = self.caps.allows(now, spec.tenant)
+        stay_us = self.caps.retry_after_us(now, spec.tenant)
         if stay_us is not None:
             self.counts["capped"] += 1
             self.tally.tenant(spec.tenant)["capped"] += 1
@@ -145,7 +145,7 @@
         if spec.key is not None:
             fact = self.facts[spec.group]
             wide = {"replayable": "always", "keyed": "boxes" if fact.repeat_scope == "all" else ""}.get(fact.effect, "")
-            what, entry, latest = self.repeats.ask(now, spec.key, spec.fingerprint, fact.repeat_window_us, wide)
+            what, entry, latest = self.repeats.look_up(now, spec.key, spec.fingerprint, fact.repeat_window_us, wide)
             if what == "full":
                 return self.refuse(listener)
             if what == "conflict":
@@ -165,11 +165,11 @@
             if latest is not None:
                 spec = spec._replace(expires_us=min(spec.expires_us, latest))
             spec = spec._replace(entry=entry)
-            if not self.memory.takes(entry):
-                self.repeats.never_ran(entry)
+            if not self.memory.can_accept(entry):
+                self.repeats.mark_never_ran(entry)
                 return self.refuse(listener)
-            if self.memory.wanted(entry):
-                self.memory.intent(entry)  # on its way to the disk while the req is read
+            if self.memory.needs_record(entry):
+                self.memory.record_intent(entry)  # on its way to the disk while the req is read
         self.count += 1
         req = Req(self.count, spec, now)
         if spec.entry is not None:
@@ -348,7 +348,7 @@
 
         def send():
             if spec.entry is not None and stage != "read":
-                self.repeats.sent(spec.entry, self.loop.clock.now_us())
+                self.repeats.mark_sent(spec.entry, self.loop.clock.now_us())
             out.forward = self.engine.forward(
                 owner,
                 server,
@@ -379,7 +379,7 @@
                     or self.noted(req, rid, number, out, send, "the disk takes too long")
                 ),
             )
-            self.memory.when_noted(spec.entry, lambda why: self.noted(req, rid, number, out, send, why))
+            self.memory.when_recorded(spec.entry, lambda why: self.noted(req, rid, number, out, send, why))
 
     def place_of(self, server):
         """Its zone and cell, by the list as the decisions know it."""
@@ -666,14 +666,14 @@
         entry = req.spec.entry
         if entry is not None:
             if how == "done":
-                self.repeats.done(entry, now, what or req.answer, req.answer.size if what is None else len(what[1]))
-                self.memory.ended(entry, "done", req.answer if what is None else None)
+                self.repeats.mark_done(entry, now, what or req.answer, req.answer.size if what is None else len(what[1]))
+                self.memory.record_outcome(entry, "done", req.answer if what is None else None)
             else:
                 if how == "pushed back" and not req.streaming:
-                    self.repeats.never_ran(entry)
+                    self.repeats.mark_never_ran(entry)
                 else:
-                    self.repeats.doubted(entry, now)
-                self.memory.ended(entry, "doubt" if entry.state == "doubted" else "free", None)
+                    self.repeats.mark_in_doubt(entry, now)
+                self.memory.record_outcome(entry, "doubt" if entry.state == "doubted" else "free", None)
         spec = req.spec
         if self.line_each:
             self.lines.info(
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -201,28 +201,28 @@
         """Gives the decisions what an earlier life of them learnt; what is taken up of it is their affair. Whatever can't be
         used means a fresh start and a line that says why."""
         record, router = found.learnt, self.core.router
-        if record is None or not hasattr(router, "take_up"):
+        if record is None or not hasattr(router, "restore_learned_state"):
             return self.log.info("learnt figures", start="fresh", why=found.learnt_why)
         try:
             figures = {
                 **record.figures,
                 "boxes": [[box, self.started_us(started), *rest] for box, started, *rest in record.figures["boxes"]],
             }
-            said = router.take_up(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
+            said = router.restore_learned_state(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
         except (ValueError, TypeError, LookupError) as problem:
             return self.log.warning("learnt figures", start="fresh", why=f"can't be used: {problem}")
         self.log.info("learnt figures", said=said)
 
     def put_learnt(self):
-        if self.store is None or not hasattr(self.core.router, "learnt"):
+        if self.store is None or not hasattr(self.core.router, "learned_state"):
             return
-        figures = self.core.router.learnt()
+        figures = self.core.router.learned_state()
         # Start times as Unix milliseconds: the loop's own time means nothing to the next life.
         figures["boxes"] = [
             [box, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
             for box, started, *rest in figures["boxes"]
         ]
-        self.core.memory.learnt(figures)
+        self.core.memory.save_learned_state(figures)
 
     chores_done = 0
 
--- a/lapiswing/http1/client.py
+++ b/lapiswing/http1/client.py
@@ -15,7 +15,7 @@
     """One request to a server. The handler is told, in this order and nothing after `on_end` or `on_fail`:
         on_head(status, fields)   on_body(bytes)...   on_end()
         on_fail(stage, why)       instead of whatever is still missing
-    Stages: 'local' (no descriptor left here), 'no way' (this machine could open no connection, to this address at least:
+    Stages: 'local' (no descriptor left here), 'no route' (this machine could open no connection, to this address at least:
     ports, memory, routes), 'connect' (no connection), 'unsent' (the connection went before the last byte of the request
     was given to the kernel), 'sent' (after it, no byte of an answer), 'head' (within the answer's head), 'body'.
     After `cancel()` the handler hears nothing more."""
@@ -328,7 +328,7 @@
             self.stuck.ended(attempt)
             if stream is None:
                 self.dropped(address)
-                exchange.fail("local" if why is NO_DESCRIPTOR else "no way" if attempt.own else "connect", why)
+                exchange.fail("local" if why is NO_DESCRIPTOR else "no route" if attempt.own else "connect", why)
                 return
             self.opened += 1
             self.stuck.opened(self.loop.now)
--- a/lapiswing/interface.py
+++ b/lapiswing/interface.py
@@ -6,14 +6,14 @@
 
     ("servers", kind, rows)           kind: update, replace, restored or unavailable; rows: Server
     ("req", id, tokens, expires_us, session, prefix, prefix_tokens, most_out, hint_us, bits, tenant, group)
-    ("first", id, server, latency_us, forward_no)      the answer has begun
-    ("outcome", id, forward_no, server, code, latency_us, ended, remark, report)
-    ("place", id, server, forward_no, held)            the answer to hold_place
+    ("first", id, server, latency_us, attempt_no)      the answer has begun
+    ("outcome", id, attempt_no, server, code, latency_us, ended, remark, report)
+    ("place", id, server, attempt_no, held)            the answer to hold_place
     ("own_trouble", on)    whether the host's machine can open no connection: attempts wait, and no server is to blame
     ("client_left", id)  ("timer", token)  ("probed", server, code, latency_us, report)  ("peer", sender, payload)
 
 A report is a dict of figures; `queue` (reqs waiting) and `held` (share of memory held) are read.
-A host may keep `router.learnt()` and give it with its age to the next life's `take_up`, before the first list.
+A host may keep `router.learned_state()` and give it with its age to the next life's `restore_learned_state`, before the first list.
 
 A forward's connection has to be up within `up_us` and the host's own bound, else its outcome is unreachable.
 
@@ -35,7 +35,7 @@
     mode: str  # ready, draining or gone
 
 
-class EndpointGroup(NamedTuple):
+class RequestClass(NamedTuple):
     name: str
     effect: str  # replayable, keyed or non-replayable
     repeat_scope: str  # keyed: which servers drop repeats together: all, zone or cell
@@ -43,8 +43,8 @@
     target_us: int
     target_per_1000_us: int
     token_target_us: int
-    importance: float
-    late_importance: float
+    priority: float
+    late_priority: float
 
 
 class Writer(Protocol):
@@ -52,7 +52,7 @@
     def hold_place(self, req, server): ...
     def release(self, req): ...
     def release_unclaimed(self, req): ...  # what no attempt waits for, while one is out
-    def retract(self, req, forward_no): ...
+    def retract(self, req, attempt_no): ...
     def move(self, req): ...
     def push_back(self, req, come_back_us): ...
     def abort(self, req): ...
--- a/lapiswing/lab/coldfleet.py
+++ b/lapiswing/lab/coldfleet.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 from lapiswing.policy import Router
 
 MS, S = 1000, 1_000_000
@@ -141,7 +141,7 @@
 
     def start(self, i, anew):
         case = self.case
-        group = EndpointGroup("chat", "replayable", "all", 5 * S, S, 40 * MS, 60 * MS, 1.0, 0.3)
+        group = RequestClass("chat", "replayable", "all", 5 * S, S, 40 * MS, 60 * MS, 1.0, 0.3)
         kinds = [{"r": "read", "w": "write", "m": "both"}[k] for k in case["kinds"]]
         self.routers[i] = Router(
             self.seeds[i],
--- a/lapiswing/lab/doubles.py
+++ b/lapiswing/lab/doubles.py
@@ -140,7 +140,7 @@
 
     def give_up(self, req, come_back_us=0):
         req.closed = True
-        self.let_go(req)
+        self.clean_up(req)
 
 
 class Doubles(Random):
--- a/lapiswing/node/outcomes.py
+++ b/lapiswing/node/outcomes.py
@@ -28,7 +28,7 @@
     """A transport's stage (see http1.ClientExchange) -> code."""
     if stage == "local":
         return "moot"  # nothing was sent, for a reason of our own
-    if stage == "no way":
+    if stage == "no route":
         return "no_way"  # nothing was sent, and nobody is to blame: another server may be reached
     return "unreachable" if stage in ("connect", "unsent") else "reset"
 
--- a/lapiswing/node/reach.py
+++ b/lapiswing/node/reach.py
@@ -5,7 +5,7 @@
 off, and against answers that get lost. Could harm by its messages where no server answers at all: `AT_ONCE`
 bounds them."""
 
-from lapiswing.routing.chance import mixed
+from lapiswing.routing.randomness import hash_fraction
 
 AT_ONCE = 4  # servers told anew at the most each time
 PARTS = 8  # of the time there is to let go: after each without an answer more servers are told
@@ -56,7 +56,7 @@
         else by chance."""
         self.draws += 1
         draw = b"/%d/%d" % (self.salt, self.draws)
-        chance = {name: mixed(name.encode() + draw) for name in self.zones}
+        chance = {name: hash_fraction(name.encode() + draw) for name in self.zones}
         by_zone, quiet = {}, self.quiet
         for name, zone in self.zones.items():
             by_zone.setdefault(zone, []).append(name)
--- a/lapiswing/policy.py
+++ b/lapiswing/policy.py
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-from lapiswing.routing import carry
-from lapiswing.routing.chance import Chance, rank
+from lapiswing.routing import learned_state
 from lapiswing.routing.pair_table import MIDDLES, STEPS, PairTable
+from lapiswing.routing.randomness import SeededRandom, rendezvous_rank
 from lapiswing.routing.state import Demand, Load, RequestState, RouterState, ServerState
 
 MS = 1000
@@ -47,7 +47,7 @@
     def __init__(self, seed, settings, now_us):
         limits, rules, prices, family = (settings[k] for k in ("limits", "rules", "penalties", "family_info"))
         super().__init__(now_us, len(settings["groups"]), len(family["duty_by_kind"]), len(MIDDLES))
-        self.chance, self.groups = Chance(seed), settings["groups"]
+        self.chance, self.groups = SeededRandom(seed), settings["groups"]
         self.gateways, self.zone = max(1, settings.get("balancers", 1)), settings.get("az", 0)
         self.most_forwards, self.may_cancel = limits["max_attempts"], limits.get("cancel", False)
         memory = [max(1, m) / self.gateways for m in family["kind_memory_tokens"]]
@@ -57,7 +57,7 @@
         # A prompt token's read cost until one is heard: what the response target allows it.
         self.start_cost = max([g.target_per_1000_us / 1000 for g in self.groups] + [0.0]) or 50.0
         self.margin_us, self.cold_multiple = settings.get("resolution_us", MS), rules["fall_multiple"]
-        self.cold_from, self.cold_us = rules["cold_from"], rules["ramp_time_us"] * 1.2
+        self.cold_from, self.slow_start_us = rules["cold_from"], rules["ramp_time_us"] * 1.2
         self.fall_us = rules["overload_for_us"]  # the window in which a cold server's work is counted
         let_go_us = family.get("let_go_by_us") or 500 * MS
         self.up_us, self.unclaimed_us = int(let_go_us * UP_PART), int(let_go_us * UNCLAIMED_PART)
@@ -66,14 +66,14 @@
         self.spare, self.pause_us = 10.0, 1000 * MS  # forwards to spare; between two trials of a suspect
         self.names = settings.get("kinds") or []
 
-    def learnt(self):  # what a later process may start from
-        return carry.save(self, LEAST_BAD)
+    def learned_state(self):  # what a later process may start from
+        return learned_state.save(self, LEAST_BAD)
 
-    def take_up(self, learnt, age_us):
+    def restore_learned_state(self, learnt, age_us):
         """Starts from an earlier process's figures, before the first list; -> a line on what was taken up."""
         if not 0 <= age_us <= LEARNT_US:
             return f"nothing taken up: {age_us // (1000 * MS)} s old"
-        return carry.restore(self, learnt)
+        return learned_state.restore(self, learnt)
 
     def round(self, now_us, events, out):
         self.now, self.out = now_us, out
@@ -84,36 +84,36 @@
             out.timer(REFRESH_US, 0)
 
     def on_servers(self, kind, rows):
-        self.subscribed, self.lost = kind in ("update", "replace"), {}
+        self.subscribed, self.unreachable_by_zone = kind in ("update", "replace"), {}
         if kind == "unavailable":
             return
         for row in rows:
-            if row.id not in self.machines:
-                self.machines[row.id] = ServerState(row, self.kinds, len(self.machines))
-            machine, carried = self.machines[row.id], self.carried.pop(row.id, None)
+            if row.id not in self.servers:
+                self.servers[row.id] = ServerState(row, self.kinds, len(self.servers))
+            machine, carried = self.servers[row.id], self.carried.pop(row.id, None)
             if carried and abs(carried[0] - row.started_us) < MS:  # the same start of it
-                _, machine.bad, machine.read_us, machine.read_tokens = carried
-                machine.suspect = machine.bad > 0.5
+                _, machine.failure_score, machine.read_us, machine.read_tokens = carried
+                machine.ejected = machine.failure_score > 0.5
             if row.started_us != machine.started_us:  # it has kept nothing, and its old troubles are over
-                machine.kept, machine.bad, machine.suspect = {}, 0.0, False
+                machine.cached_prefixes, machine.failure_score, machine.ejected = {}, 0.0, False
                 self.reads[machine.at] = self.waits[machine.at] = 0.0
             machine.listed(row, self.kinds)
         named = {row.id for row in rows}
-        for machine in [m for m in self.machines.values() if kind != "update" and m.id not in named]:
+        for machine in [m for m in self.servers.values() if kind != "update" and m.id not in named]:
             machine.mode = "gone"
         self.keep_measurements()
         self.level_pairs()
 
     def level_pairs(self):
-        ready = [m for m in self.machines.values() if m.mode == "ready"]
-        self.cold_until = max([m.started_us + self.cold_us for m in ready if m.started_us], default=0)
-        self.use(ready)
+        ready = [m for m in self.servers.values() if m.mode == "ready"]
+        self.cold_until = max([m.started_us + self.slow_start_us for m in ready if m.started_us], default=0)
+        self.set_ready_servers(ready)
         self.table.arrange(self.readers, self.writers)
         # By what is known without outcomes; less often for many pairs, as nobody is served meanwhile.
         pairs = max(1, len(self.readers) * len(self.writers))
-        for _ in range(0 if self.moved_us else min(12, max(2, FIRST_PAIRS // pairs))):
+        for _ in range(0 if self.refreshed_us else min(12, max(2, FIRST_PAIRS // pairs))):
             self.refresh()
-        self.moved_us = self.moved_us or self.now
+        self.refreshed_us = self.refreshed_us or self.now
 
     def on_timer(self, token):
         if token:
@@ -122,9 +122,9 @@
         if self.asks and not self.subscribed and self.now >= self.ask_us:
             self.ask_us = self.now + 1000 * MS
             self.out.watch(True)  # not asked yet, the call failed or the subscription broke
-        worth = self.table.pairs.size / PAIRS_A_NEWS if self.table.racks_a_group else 0
-        if self.news >= max(NEWS, worth) or self.now - self.moved_us >= 4 * REFRESH_US:
-            self.measure(max(1, self.now - self.moved_us))
+        worth = self.table.pairs.size / PAIRS_A_NEWS if self.table.racks_per_group else 0
+        if self.news >= max(NEWS, worth) or self.now - self.refreshed_us >= 4 * REFRESH_US:
+            self.measure(max(1, self.now - self.refreshed_us))
             self.refresh()
         self.look_for_silence()
 
@@ -132,22 +132,22 @@
         self.read_span += past
         self.pause_us = max(1000 * MS, 5 * self.read_span / max(1.0, sum(m[0] for m in self.mix)))
         self.stream_us += self.begun * past
-        self.took += (self.taken * 1e6 / past - self.took) * (1 - 0.9 ** (past / REFRESH_US))
+        self.took += (self.served * 1e6 / past - self.took) * (1 - 0.9 ** (past / REFRESH_US))
         keep = 0.975 ** (past / REFRESH_US)
         for kind, sums in enumerate(self.kind_took):  # remembered while all of a kind are cold
             warm = [m.at for m in self.of_kind[kind] if not m.cold]
             if warm:
-                sums[:] = sums[0] * keep + self.taken[warm].sum(), sums[1] * keep + len(warm) * past / 1e6
-        self.taken[:], self.news, self.moved_us = 0, 0, self.now
+                sums[:] = sums[0] * keep + self.served[warm].sum(), sums[1] * keep + len(warm) * past / 1e6
+        self.served[:], self.news, self.refreshed_us = 0, 0, self.now
         # Halved by evidence, so that few outcomes are remembered longer than many.
         past = self.now - self.halved_us
-        if past >= MEMORY_US[0] and self.seen >= 2 * len(self.machines) or past >= MEMORY_US[1]:
+        if past >= MEMORY_US[0] and self.seen >= 2 * len(self.servers) or past >= MEMORY_US[1]:
             self.halved_us, self.seen = self.now, 0
             self.reads, self.waits = self.reads / 2, self.waits / 2
             self.stream_us, self.owed_us = self.stream_us * 0.7, self.owed_us * 0.7
             self.near, self.mix = [v / 2 for v in self.near], [[v / 2 for v in sums] for sums in self.mix]
             self.read_tokens, self.read_span = self.read_tokens / 2, self.read_span / 2
-            self.asked, self.read_well = self.asked / 2, self.read_well / 2
+            self.recent_reqs, self.read_well = self.recent_reqs / 2, self.read_well / 2
             for m in self.readers:
                 m.read_us, m.read_tokens = m.read_us / 2, m.read_tokens / 2
 
@@ -171,7 +171,7 @@
         middle = MIDDLES[(wait.cumsum(axis=1) < 0.5).sum(axis=1)].tolist()
         self.expect = dict(zip((w.id for w in self.writers), middle))
         # The middle one: a hung server's ages must not raise what is usual.
-        self.read_mean, self.wait_mean = (np.sort(e)[(len(e) - 1) // 2] for e in (reads_end, waits_end))
+        self.typical_read_us, self.typical_wait_us = (np.sort(e)[(len(e) - 1) // 2] for e in (reads_end, waits_end))
         total = sum(m[0] for m in self.mix)
         tokens = sum(m[1] for m in self.mix) / (total or 1.0)
         demands = [
@@ -179,7 +179,7 @@
             for m, g in zip(self.mix, self.groups)
             if m[0] > 0
         ]
-        good = [np.array([1 - m.bad for m in side]) for side in (self.readers, self.writers)]
+        good = [np.array([1 - m.failure_score for m in side]) for side in (self.readers, self.writers)]
         pace = np.minimum(1.0, 1.5 / pace)
         self.table.refresh(read, wait, demands, pace, good, self.load(), tokens, self.hop)
 
@@ -201,8 +201,8 @@
             bins[of] += PRIOR * average / average.sum()
         ends = bins @ MIDDLES / bins.sum(axis=1)
         for i, m in enumerate(machines):
-            if writing and m.told_us > STEPS[0] and self.now - m.told_at < 2000 * MS:
-                bins[i, bisect_left(STEPS, m.told_us)] += PRIOR
+            if writing and m.reported_wait_us > STEPS[0] and self.now - m.wait_reported_us < 2000 * MS:
+                bins[i, bisect_left(STEPS, m.reported_wait_us)] += PRIOR
             for sent, wr in m.waiting.values():
                 if wr == writing and self.now - sent > ends[i]:
                     bins[i, bisect_left(STEPS, self.now - sent)] += 1
@@ -218,8 +218,8 @@
         n = self.begun[self.w_at].sum() / len(self.writers)
         known = n / (n + 1)  # a writer's own streams say something of it only where each has some
         # What writers told of their memory, leaning on the mean of all as it grows old.
-        fresh = 0.5 ** (np.array([self.now - w.held_at for w in self.writers]) / HELD_US)
-        held = np.array([w.held for w in self.writers])
+        fresh = 0.5 ** (np.array([self.now - w.memory_reported_us for w in self.writers]) / HELD_US)
+        held = np.array([w.memory_used for w in self.writers])
         held = fresh * held + (1 - fresh) * (fresh @ held / max(1e-9, fresh.sum()))
         # All routers use the one link of a cell: their part of its time, from own prompts and shares.
         flow = sum(m[1] for m in self.mix) * self.gateways / self.read_span
@@ -236,31 +236,31 @@
         if self.own_trouble:
             return self.forgive_waits()
         known = self.reads.sum() >= LATE_READS * len(self.readers)
-        suspects = sum(m.suspect and m.mode == "ready" for m in self.machines.values())
-        listed = len({*self.table.rows.at, *self.table.columns.at})
+        suspects = sum(m.ejected and m.mode == "ready" for m in self.servers.values())
+        listed = len({*self.table.rows.index_of, *self.table.columns.index_of})
         self.mode("trouble in common", suspects * 2 > listed, f"{suspects} suspects")
-        for m in [m for m in self.machines.values() if m.waiting]:
+        for m in [m for m in self.servers.values() if m.waiting]:
             most = 2 * m.out_tokens * self.cost_of(m)
             for (rid, number), (sent, writing) in list(m.waiting.items()):
                 req, quiet = self.reqs[rid], self.now - max(sent, m.heard_us)
-                usual, waited = self.wait_mean if writing else self.read_mean, self.now - sent
+                usual, waited = self.typical_wait_us if writing else self.typical_read_us, self.now - sent
                 # One forward alone may just be slow.
                 silent = quiet > max(600 * MS, 5 * usual + most) * (1 + 2 / len(m.waiting) ** 2)
                 overtaken = sent < m.answered_us and waited >= max(400 * MS, 4 * usual)
-                _, stage, _, _, _, ahead = req.forwards[number]
+                _, stage, _, _, _, ahead = req.attempts[number]
                 # Far behind what it should take alone: behind others' work, or its answer was lost. Could
                 # harm where taking back stops nothing; the usual time keeps a common jam from moving all.
                 # Without enough reads to tell it, the moves of many gateways would multiply a jam.
                 again, holder = self.groups[req.group].effect == "replayable", req.holder
                 late = (
                     known
-                    and (stage == "read" or stage == "write" and again and m.held < FULL)
+                    and (stage == "read" or stage == "write" and again and m.memory_used < FULL)
                     and (max(0.25 * (req.target - req.arrived), 3 * usual) < waited < min(req.target, req.expires) - self.now)
                 )
                 if late:
                     move = self.hop(holder, 1 + (holder.zone != m.zone)) if stage == "write" and holder else 0
                     late = waited > 3 * (ahead * self.cost_of(m) + req.tokens * move)
-                if silent and not m.suspect:
+                if silent and not m.ejected:
                     self.mark(m, 0.6, f"silent for {quiet // MS} ms, usual {usual / MS:.0f}")
                 harmless = stage == "read" or (overtaken or late) and again
                 if (
@@ -268,30 +268,30 @@
                     and harmless
                     and not req.closed
                     and self.may_cancel
-                    and (self.spare >= 1 and len(req.forwards) < self.most_forwards - 1)
+                    and (self.spare >= 1 and len(req.attempts) < self.most_forwards - 1)
                 ):
                     self.out.retract(rid, number)
 
     def mark(self, m, by, why):
-        m.bad += (1 - m.bad) * by * max(0.2, 1 - 2.5 * self.failing)  # what all do says little of one
-        if m.bad > 0.5:
-            m.trial_us = self.now + self.pause_us
-            if not m.suspect:
-                m.suspect = True
-                self.out.log(f"suspect {m.id} on: {why}, bad {m.bad:.2f}")
+        m.failure_score += (1 - m.failure_score) * by * max(0.2, 1 - 2.5 * self.failing)  # what all do says little of one
+        if m.failure_score > 0.5:
+            m.next_probe_us = self.now + self.pause_us
+            if not m.ejected:
+                m.ejected = True
+                self.out.log(f"suspect {m.id} on: {why}, bad {m.failure_score:.2f}")
 
     def good(self, m):
-        m.bad *= 0.75
-        self.lost.pop(m.zone, None)
-        if m.suspect and m.bad < 0.3:
-            m.suspect = False
-            self.out.log(f"suspect {m.id} off: bad {m.bad:.2f}")
+        m.failure_score *= 0.75
+        self.unreachable_by_zone.pop(m.zone, None)
+        if m.ejected and m.failure_score < 0.3:
+            m.ejected = False
+            self.out.log(f"suspect {m.id} off: bad {m.failure_score:.2f}")
 
     def usable(self, m, req):
-        m.cold = m.started_us > 0 and self.now - m.started_us < self.cold_us
-        trial = self.now >= m.trial_us and not m.waiting and len(req.forwards) < 2
+        m.cold = m.started_us > 0 and self.now - m.started_us < self.slow_start_us
+        trial = self.now >= m.next_probe_us and not m.waiting and len(req.attempts) < 2
         return (
-            m.mode == "ready" and m.id not in req.tried and (not m.suspect or self.modes.get("trouble in common", False) or trial)
+            m.mode == "ready" and m.id not in req.tried and (not m.ejected or self.modes.get("trouble in common", False) or trial)
         )
 
     def reachable(self, machines, req):
@@ -300,7 +300,7 @@
         could harm where single servers of a zone hang, by a pause."""
         lost = {
             zone
-            for zone, ids in self.lost.items()
+            for zone, ids in self.unreachable_by_zone.items()
             if self.now - max(ids.values()) < self.pause_us and (len(ids) > 1 or not req.tried.isdisjoint(ids))
         }
         usable = [m for m in machines if self.usable(m, req) and self.may_forward(req, m)]
@@ -308,7 +308,7 @@
 
     def cold_level(self, m):
         """What the rule lets a just-started server be sent by now, in multiples of what a warm one can do."""
-        warmed = (self.now - m.started_us) / self.cold_us
+        warmed = (self.now - m.started_us) / self.slow_start_us
         return self.cold_multiple * (self.cold_from + (1 - self.cold_from) * warmed)
 
     def bears(self, m, long, mean, part):
@@ -335,8 +335,8 @@
         of a role are cold after a time of little traffic."""
         if not cold:
             return None
-        served = min(1.0, (self.read_well + self.reads_out + 1) / (self.asked + 1))
-        usual = sum(m[0] for m in self.mix) * RUSH_US / log(2) / (self.read_span + self.now - self.moved_us)
+        served = min(1.0, (self.read_well + self.reads_out + 1) / (self.recent_reqs + 1))
+        usual = sum(m[0] for m in self.mix) * RUSH_US / log(2) / (self.read_span + self.now - self.refreshed_us)
         if all_cold:  # no jam shows then, and `usual` would learn the rush
             usual = min(usual, self.readers_rate() * RUSH_US / 1e6 / log(2))
         served *= min(1.0, (usual + 1) / max(1.0, self.rush))
@@ -344,7 +344,7 @@
         for m, share in zip(cold, shares):
             parts.append((m, share * served * min(1.0, self.cold_level(m) * COLD_PART)))
         if key is not None and len(parts) > 2:  # most work there is text that it has not kept
-            parts.sort(key=lambda p: -log(1 - rank(key, p[0])) / max(p[1], 1e-9))
+            parts.sort(key=lambda p: -log(1 - rendezvous_rank(key, p[0])) / max(p[1], 1e-9))
             more = min(COLD_HOMES, 1 + COLD_HOT / max(0.01, self.heat_of(key)))
             homes, whole = ceil(len(parts) / more), sum(part for _, part in parts)
             parts = [(m, min(whole / homes, more * part)) for m, part in parts[:homes]]
@@ -360,35 +360,35 @@
         fade = 0.5 ** ((self.now - self.rush_us) / RUSH_US)
         self.rush, self.rush_us = self.rush * fade + (not req.repeat), self.now
         self.mix[group] = [self.mix[group][0] + 1, self.mix[group][1] + tokens]
-        self.spare, self.asked = min(10.0, self.spare + 0.6), self.asked + 1
+        self.spare, self.recent_reqs = min(10.0, self.spare + 0.6), self.recent_reqs + 1
         if prefix is not None:
             self.heat[prefix] = self.heat.get(prefix, 0) + 1
             if sum(self.heat.values()) > 80:
                 self.heat = {key: n / 2 for key, n in self.heat.items() if n > 0.5}
-        req.over = req.tenant < len(self.quota) and self.left_of(req.tenant) < 0
+        req.over_quota = req.tenant < len(self.quota) and self.remaining_quota(req.tenant) < 0
         self.read(req)
 
-    def left_of(self, tenant):  # its quota, as of the last refresh
+    def remaining_quota(self, tenant):  # its quota, as of the last refresh
         quota = self.quota[tenant]
         left, at = self.quota_left.get(tenant, (2 * quota, self.began_us))
-        return min(2 * quota + 4, left + quota * max(0, self.moved_us - at) / 1e6)
+        return min(2 * quota + 4, left + quota * max(0, self.refreshed_us - at) / 1e6)
 
     def read(self, req):
-        if len(req.forwards) >= self.most_forwards - 1 or self.now + self.margin_us >= req.expires:
+        if len(req.attempts) >= self.most_forwards - 1 or self.now + self.margin_us >= req.expires:
             return self.give_up(req)
         # One draw for both roles, so that their parts coincide.
-        at = self.chance() if self.now < self.cold_until and not req.forwards and not req.repeat else 1.0
+        at = self.chance() if self.now < self.cold_until and not req.attempts and not req.repeat else 1.0
         reader, ready_us = self.choose_reader(req, at)
         writers = [w for w in self.writers if self.usable(w, req)]
         if reader and not reader.writes and all(w.cold for w in writers):  # no read that no writer takes
             req.turn = self.turn_of(at, writers, [1 / len(self.writers) for _ in writers], True)
             reader = reader if req.turn else None
         if reader is None:
-            self.asked = max(0.0, self.asked - 1)
+            self.recent_reqs = max(0.0, self.recent_reqs - 1)
             return self.give_up(req)
         # Its client may leave before the target: what takes longer is work for nobody.
         patience = req.expires - self.now - self.margin_us
-        allowed = min((req.target - self.now) * (0.5 if req.over else 0.8), patience)
+        allowed = min((req.target - self.now) * (0.5 if req.over_quota else 0.8), patience)
         # Never shed with less than this router's part waiting: else what a jam taught is never learnt again.
         waits = [self.expect.get(w.id, 0.0) for w in writers if not reader.writes] or [0.0]
         unbegun, began = max(0, sum(len(w.waiting) for w in writers) - 1), self.took[self.w_at].sum()
@@ -399,14 +399,14 @@
         late = full or ready_us + wait > allowed and (reader.out_tokens > 0 or mine or wait > allowed / 2)
         # Clients that leave before the target and come again at once fill all readers; could harm a share
         # that is sent to few gateways only.
-        late = late or req.over and req.expires < req.target and not req.forwards
+        late = late or req.over_quota and req.expires < req.target and not req.attempts
         self.mode("shedding", late, "read %d ms, wait %d of %d" % (ready_us / MS, wait / MS, allowed / MS))
         if late and self.may_push_back(req):
             return self.give_up(req, int(ready_us + wait - allowed / 2))
-        if req.tenant < len(self.quota) and not req.forwards:
-            left = max(-self.quota[req.tenant] - 2, self.left_of(req.tenant) - 1)
-            self.quota_left[req.tenant] = left, self.moved_us
-        kept, req.fresh = reader.kept, max(1, req.tokens - self.known(req, reader))
+        if req.tenant < len(self.quota) and not req.attempts:
+            left = max(-self.quota[req.tenant] - 2, self.remaining_quota(req.tenant) - 1)
+            self.quota_left[req.tenant] = left, self.refreshed_us
+        kept, req.fresh = reader.cached_prefixes, max(1, req.tokens - self.known(req, reader))
         if len(kept) > 2000:
             kept.clear()
         kept.update({req.prefix: req.prefix_tokens, req.session: req.tokens})
@@ -415,7 +415,7 @@
         self.send(req, reader, "direct" if reader.writes else "read")
 
     def known(self, req, reader):  # prompt tokens that it should still have kept, as far as this router knows
-        return max(reader.kept.get(req.session, 0), req.prefix_tokens if req.prefix in reader.kept else 0)
+        return max(reader.cached_prefixes.get(req.session, 0), req.prefix_tokens if req.prefix in reader.cached_prefixes else 0)
 
     def cold_reader(self, req, at, cold, all_cold, key):
         """The cold reader whose turn it is, or None. What counts there is work: a long prompt's turns are as
@@ -438,20 +438,20 @@
         if turn or not usable:
             return turn, 0
         shares, trial = self.table.share, 0.3 / len(usable)  # a suspect is here for a trial only
-        drawn = self.chance.draw([(r, shares[r.id] + trial * r.suspect) for r in usable])
+        drawn = self.chance.draw([(r, shares[r.id] + trial * r.ejected) for r in usable])
         ends = {}
         for r in usable:
             ahead = r.out_tokens + req.tokens - self.known(req, r) * r.trust
             oldest = next(iter(r.waiting.values()), (self.now,))[0]
             ends[r.id] = max(ahead * self.cost_of(r), self.now - oldest)
-        if drawn.suspect:
+        if drawn.ejected:
             return drawn, ends[drawn.id]
         allowed = max(0.25 * (req.target - req.arrived), min(ends.values()) * 1.1)
-        fit = [r for r in usable if ends[r.id] <= allowed and not r.suspect]
+        fit = [r for r in usable if ends[r.id] <= allowed and not r.ejected]
         share = shares[drawn.id]  # the best or near it; mixed servers have shares of their own
-        near = [r for r in usable if NEAR * share <= shares[r.id] <= share / NEAR and not r.suspect]
-        home = max(fit, key=lambda r: r.kept.get(req.session, 0), default=drawn)
-        if req.session in home.kept and home in fit:
+        near = [r for r in usable if NEAR * share <= shares[r.id] <= share / NEAR and not r.ejected]
+        home = max(fit, key=lambda r: r.cached_prefixes.get(req.session, 0), default=drawn)
+        if req.session in home.cached_prefixes and home in fit:
             drawn = home
         elif near and key is not None:
             # A prefix has two homes, a hot one so many that it takes half of none; its sessions spread over
@@ -460,8 +460,8 @@
             # Ranks follow the shares the more, the less this router's own reads tell of each reader.
             by = max(0.0, 1 - self.reads.sum() / (4 * len(self.readers)))
             homes = max(1, min(2, len(near) // 3), ceil(2 * len(near) * self.heat_of(key)))
-            near.sort(key=lambda r: -log(1 - rank(key, r)) / shares[r.id] ** by)
-            ranked = sorted(near[:homes], key=lambda r: rank(req.session, r)) + near[homes : 2 * homes]
+            near.sort(key=lambda r: -log(1 - rendezvous_rank(key, r)) / shares[r.id] ** by)
+            ranked = sorted(near[:homes], key=lambda r: rendezvous_rank(req.session, r)) + near[homes : 2 * homes]
             drawn = next((r for r in ranked if r in fit), None) or ranked[0]
         elif drawn not in fit or key is None:
             drawn = min(near or usable, key=lambda r: ends[r.id])
@@ -479,27 +479,27 @@
         return (r.read_us + 1000 * kind) / (r.read_tokens + 1000)
 
     def write(self, req):
-        writer = self.choose_writer(req) if len(req.forwards) < self.most_forwards else None
+        writer = self.choose_writer(req) if len(req.attempts) < self.most_forwards else None
         self.send(req, writer, "write") if writer else self.give_up(req)
 
     def choose_writer(self, req):
         usable = self.reachable(self.writers, req)
         if not usable:
             return None
-        shares, column = self.table.shares_from(req.holder), self.table.columns.at
+        shares, column = self.table.shares_from(req.holder), self.table.columns.index_of
         cold, usable = [w for w in usable if w.cold], [w for w in usable if not w.cold]
         if req.turn in cold:
             return req.turn
         if cold:  # never more than an equal share of all, however near it is to some readers
             most = 1 / len(self.writers) / np.maximum(self.table.writer_shares(), 1e-9)
             turns = shares / (shares.sum() or 1.0) * np.minimum(1.0, most)
-            at = 1.0 if any(stage == "write" for _, stage, *_ in req.forwards) else self.chance()
+            at = 1.0 if any(stage == "write" for _, stage, *_ in req.attempts) else self.chance()
             turn = self.turn_of(at, cold, [turns[column[w.id]] for w in cold], not usable)
             if turn or not usable:
                 return turn
         row = [(w, shares[column[w.id]] or 1e-6) for w in usable]
         drawn, best = self.chance.draw(row), max(v for _, v in row)
-        near = {w: v for w, v in row if v >= NEAR * best and not w.suspect}
+        near = {w: v for w, v in row if v >= NEAR * best and not w.ejected}
         least = min((w.stream_tokens / w.memory for w in near), default=0)  # nothing at many: draw by share
         least = [(w, v) for w, v in near.items() if w.stream_tokens / w.memory == least]
         return self.chance.draw(least) if drawn in near else drawn
@@ -531,8 +531,8 @@
         return g.effect == "replayable" or not req.ran or (g.effect == "keyed" and g.repeat_scope == "all")
 
     def send(self, req, machine, stage):
-        number, ahead = len(req.forwards), machine.out_tokens + req.fresh if stage != "write" else 0
-        req.forwards.append([machine, stage, self.now, True, req.fresh, ahead])
+        number, ahead = len(req.attempts), machine.out_tokens + req.fresh if stage != "write" else 0
+        req.attempts.append([machine, stage, self.now, True, req.fresh, ahead])
         req.out += 1
         up_us = self.up_within(req)
         if stage != "read":
@@ -541,8 +541,8 @@
         if stage != "write":
             machine.out_tokens, self.reads_out = machine.out_tokens + req.fresh, self.reads_out + 1
         machine.waiting[req.id, number] = (self.now, stage == "write")
-        if machine.suspect:
-            machine.trial_us = self.now + self.pause_us
+        if machine.ejected:
+            machine.next_probe_us = self.now + self.pause_us
         self.out.forward(req.id, machine.id, max(MS, req.expires - self.now - self.margin_us), up_us)
         if stage == "write" and req.holder is not None:
             self.watch_claim(req, number)
@@ -559,7 +559,7 @@
         could harm by its message, and by a new prefill where the attempt arrives just behind it."""
         rid, number = self.unclaimed.pop(token, (None, None))
         req = self.reqs.get(rid)
-        if req is not None and not req.closed and req.begun is None and req.forwards[number][3]:
+        if req is not None and not req.closed and req.begun is None and req.attempts[number][3]:
             self.out.release_unclaimed(rid)
 
     def give_up(self, req, come_back_us=1 << 40):
@@ -569,16 +569,16 @@
             self.out.push_back(req.id, min(max(100 * MS, come_back_us), self.come_back_us))
         else:
             self.out.abort(req.id)
-        self.let_go(req)
+        self.clean_up(req)
 
     def on_first(self, rid, server, latency, number):
         req = self.reqs.get(rid)
-        if req is None or number >= len(req.forwards):
+        if req is None or number >= len(req.attempts):
             return
-        machine, stage, sent, _, fresh, ahead = req.forwards[number]
+        machine, stage, sent, _, fresh, ahead = req.attempts[number]
         machine.waiting.pop((rid, number), None)
         machine.heard_us, machine.answered_us = self.now, max(machine.answered_us, sent)
-        self.taken[machine.at] += 1
+        self.served[machine.at] += 1
         self.begun[machine.at] += 1
         self.news, self.seen = self.news + 1, self.seen + 1
         req.begun, req.begun_us = number, self.now
@@ -601,7 +601,7 @@
             self.read_well += 1
             self.learn_read(machine, latency, ahead)
             machine.out_tokens, self.reads_out = machine.out_tokens - fresh, self.reads_out - 1
-            req.forwards[number][4] = 0
+            req.attempts[number][4] = 0
         req.holder = None
 
     def learn_read(self, machine, latency, ahead, of_kind=True):
@@ -613,15 +613,15 @@
             sums[:] = sums[0] * 0.75 + latency, sums[1] * 0.75 + max(200, ahead)
 
     def on_outcome(self, rid, number, server, code, latency, ended, remark, report):
-        machine = self.machines.get(server)
+        machine = self.servers.get(server)
         if machine is not None and report and report.get("held") is not None:
-            machine.held, machine.held_at = report["held"], self.now
+            machine.memory_used, machine.memory_reported_us = report["held"], self.now
         if machine is not None and report and report.get("queue") is not None:
             took, of = self.kind_took[machine.kind]  # at its kind's rate of serving all routers
-            machine.told_us = report["queue"] * 1e6 / max(1.0, took / of * self.gateways)
-            machine.told_at = self.now
+            machine.reported_wait_us = report["queue"] * 1e6 / max(1.0, took / of * self.gateways)
+            machine.wait_reported_us = self.now
         req = self.reqs.get(rid)
-        forward = req.forwards[number] if req is not None and number < len(req.forwards) else [None] * 4
+        forward = req.attempts[number] if req is not None and number < len(req.attempts) else [None] * 4
         if not forward[3]:
             return  # late, twice, or of a req that was never here
         machine, stage, sent, _, fresh, ahead = forward
@@ -638,9 +638,9 @@
                 if req.tokens - fresh > 100:
                     machine.trust += (min(1.0, (remark or 0) / (req.tokens - fresh)) - machine.trust) * 0.3
                 if (remark or 0) < (req.tokens - fresh) / 2:
-                    machine.kept.pop(req.session, None)
+                    machine.cached_prefixes.pop(req.session, None)
                     if (remark or 0) < req.prefix_tokens / 2:
-                        machine.kept.pop(req.prefix, None)
+                        machine.cached_prefixes.pop(req.prefix, None)
                     ahead += req.tokens - (remark or 0) - fresh
                 self.read_well += 1
                 self.learn_read(machine, latency, ahead)
@@ -649,11 +649,11 @@
         if code not in ("timed_out", "cancelled", "no_way", "moot"):
             machine.heard_us = self.now
             machine.answered_us = max(machine.answered_us, sent if code == "read" else 0)
-        self.taken[machine.at] += code == "read"
+        self.served[machine.at] += code == "read"
         self.news, self.seen = self.news + 1, self.seen + 1
         self.failing += ((code in FAILURES) - self.failing) * 0.05
         if code == "unreachable":
-            self.lost.setdefault(machine.zone, {})[machine.id] = self.now
+            self.unreachable_by_zone.setdefault(machine.zone, {})[machine.id] = self.now
         if code in FAILURES:
             self.mark(machine, 0.6 if code == "unreachable" else 0.3, f"{code} after {latency // MS} ms")
             if code == "timed_out" and stage == "write":
@@ -672,11 +672,11 @@
             req.holder, req.held_us = machine, self.now
         req.closed = req.closed or bool(ended)
         if req.closed:
-            self.let_go(req)
+            self.clean_up(req)
         elif not req.out:
             self.next_step(req, machine, stage, code, remark)
 
-    def let_go(self, req):
+    def clean_up(self, req):
         if req.holder is not None:
             self.out.release(req.id)
             req.holder = None
@@ -704,11 +704,11 @@
         if req is None or req.closed:
             return
         req.closed = True
-        for number, forward in enumerate(req.forwards):
+        for number, forward in enumerate(req.attempts):
             if forward[3] and number != req.begun and self.may_cancel:  # nobody waits for it
                 self.out.retract(rid, number)
         if not req.out:
-            self.let_go(req)
+            self.clean_up(req)
 
     def on_own_trouble(self, on):
         self.own_trouble = on
@@ -718,7 +718,7 @@
     def forgive_waits(self):
         """What has waited for this machine tells nothing of its server. Guards against moving all attempts at once,
         and rejecting what still has time; could harm where a server hangs too, by the time that this lasts."""
-        for machine in self.machines.values():
+        for machine in self.servers.values():
             machine.waiting = {key: (self.now, writing) for key, (_, writing) in machine.waiting.items()}
 
     on_place = on_probed = on_peer = lambda self, *fields: None  # this module asks for none of them
--- a/lapiswing/routing/groups.py
+++ b/lapiswing/routing/groups.py
@@ -7,7 +7,7 @@
     """The servers of one role in groups, `keys` naming these. Single servers are groups of one."""
 
     def __init__(self, servers, key_of, weights):
-        self.servers, self.at = servers, {m.id: i for i, m in enumerate(servers)}
+        self.servers, self.index_of = servers, {m.id: i for i, m in enumerate(servers)}
         found = {}
         self.group = np.array([found.setdefault(key_of(m), len(found)) for m in servers], int)
         self.keys, self.index, self.grouped = list(found), found, len(found) < len(servers)
--- a/lapiswing/routing/carry.py
+++ b/lapiswing/routing/learned_state.py
@@ -14,9 +14,9 @@
         for name, (role, _), cost, took in zip(router.names, router.kinds, router.kind_cost, router.kind_took)
     ]
     boxes = [
-        [m.id, m.started_us, m.bad, m.read_us, m.read_tokens]
-        for m in router.machines.values()
-        if m.mode == "ready" and (m.bad > least_bad or m.read_tokens)
+        [m.id, m.started_us, m.failure_score, m.read_us, m.read_tokens]
+        for m in router.servers.values()
+        if m.mode == "ready" and (m.failure_score > least_bad or m.read_tokens)
     ]
     groups = [[g.name, us] for g, us in zip(router.groups, router.answer_us)]
     return {"groups": groups, "kinds": kinds, "boxes": boxes}
--- a/lapiswing/routing/pair_table.py
+++ b/lapiswing/routing/pair_table.py
@@ -25,7 +25,7 @@
         """`zone`: the gateway's own. Prices: of leaving a rack and of crossing zones, as attainment."""
         self.zone, self.far_price, self.cross_price = zone, far_price, cross_price
         self.rows = self.columns = Side([], None, {})
-        self.racks_a_group = 0  # none: servers stand alone
+        self.racks_per_group = 0  # none: servers stand alone
         self.pairs = self.size = np.zeros((0, 0))  # share of each pair of groups; pairs of servers in it
         self.share = {}  # of each prefill server
 
@@ -33,8 +33,8 @@
         """Takes the servers as they are now. Pairs that stay keep their shares, new ones get the mean."""
         rows, columns, density = self.rows, self.columns, self.pairs / np.maximum(1, self.size)
         key_of, label_of = self.grouping(readers, writers)
-        self.rows = Side(readers, key_of, dict(zip(rows.at, rows.weight.tolist())))
-        self.columns = Side(writers, key_of, dict(zip(columns.at, columns.weight.tolist())))
+        self.rows = Side(readers, key_of, dict(zip(rows.index_of, rows.weight.tolist())))
+        self.columns = Side(writers, key_of, dict(zip(columns.index_of, columns.weight.tolist())))
         r_label, r_zone, mixed = self.rows.lead(label_of, lambda m: m.zone, lambda m: m.writes)
         w_label, w_zone = self.columns.lead(label_of, lambda m: m.zone)
         own = np.zeros((len(r_label), len(w_label)), bool)  # a mixed server writes itself what it reads
@@ -56,15 +56,15 @@
 
     def grouping(self, readers, writers):
         """-> the key of a server's group, and a number for the racks that it stands for."""
-        if len(readers) * len(writers) <= SINGLE_PAIRS * (STAY if self.racks_a_group else 1):
-            self.racks_a_group = 0
+        if len(readers) * len(writers) <= SINGLE_PAIRS * (STAY if self.racks_per_group else 1):
+            self.racks_per_group = 0
             return lambda m: m.id, lambda m: m.cell
-        racks, together = Racks(readers, writers), max(1, self.racks_a_group)
+        racks, together = Racks(readers, writers), max(1, self.racks_per_group)
         while racks.pairs(readers, writers, together) > GROUP_PAIRS and together < len(racks):
             together *= 2
         while together > 1 and racks.pairs(readers, writers, together // 2) <= STAY * GROUP_PAIRS:
             together //= 2
-        self.racks_a_group = together
+        self.racks_per_group = together
         return lambda m: racks.key(m, together), lambda m: racks.label(m, together)
 
     def keep_shares(self, rows, columns, density):
@@ -77,14 +77,14 @@
 
     def tell_shares(self):
         shares = self.rows.spread(self.pairs.sum(axis=1))
-        self.share = dict(zip(self.rows.at, np.maximum(shares, 1e-9).tolist()))
+        self.share = dict(zip(self.rows.index_of, np.maximum(shares, 1e-9).tolist()))
 
     def writer_shares(self):
         return self.columns.spread(self.pairs.sum(axis=0))
 
     def shares_from(self, reader):
         """The shares of all decode servers behind one prefill server; behind one that has left, the mean."""
-        at = self.rows.at.get(reader.id)
+        at = self.rows.index_of.get(reader.id)
         if at is None:
             return self.columns.spread(self.pairs.mean(axis=0))
         group = self.rows.group[at]
@@ -108,7 +108,7 @@
     def refresh(self, read, wait, demands, pace, good, load, tokens, hop):
         """Moves shares once. `read`, `wait`: latencies' parts, server by bin; `pace`: a factor of decode
         servers, `good` of both sides; `tokens`: of a mean prompt; `hop(reader, way)`: time to move one."""
-        if self.racks_a_group:  # first, as a group is not bad for one bad server in it
+        if self.racks_per_group:  # first, as a group is not bad for one bad server in it
             self.move_inside(self.rows, good[0])
             self.move_inside(self.columns, good[1] * pace - load.told)
         value = self.attainment(self.rows.mean(read), self.columns.mean(wait), demands, tokens, hop)
@@ -151,7 +151,7 @@
 
     def ends(self, score, equal, taking):
         """Pairs by score; where they are many only the best, and the worst above the floor."""
-        if not self.racks_a_group or 3 * taking > len(score):
+        if not self.racks_per_group or 3 * taking > len(score):
             return np.argsort(score, kind="stable")
         low = np.where(self.pairs.reshape(-1) > FLOOR * equal, score, np.inf)
         best = np.argpartition(score, -taking)[-taking:]
--- a/lapiswing/routing/chance.py
+++ b/lapiswing/routing/randomness.py
@@ -5,24 +5,24 @@
 from zlib import crc32
 
 
-def mixed(data):
+def hash_fraction(data):
     """A number in [0, 1) from bytes. Squared: crc32 alone is linear, so that ranks and draws of all routers would go together."""
     return crc32(data) ** 2 % 4294967291 / 4294967291
 
 
-def rank(key, server):
+def rendezvous_rank(key, server):
     """The rendezvous hash of a key and a server, the same at all gateways."""
-    return mixed(f"{key}/{server.id}".encode())
+    return hash_fraction(f"{key}/{server.id}".encode())
 
 
-class Chance:
+class SeededRandom:
     def __init__(self, seed):
         self.seed, self.draws = seed, 0
 
     def __call__(self):
         """The next number in [0, 1)."""
         self.draws += 1
-        return mixed(b"%d/%d" % (self.seed, self.draws))
+        return hash_fraction(b"%d/%d" % (self.seed, self.draws))
 
     def draw(self, weighted):
         """One of (item, weight) pairs."""
--- a/lapiswing/settings/load.py
+++ b/lapiswing/settings/load.py
@@ -10,7 +10,7 @@
 
 from lapiswing.dns.codec import question
 from lapiswing.errors import OperatorError
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 from lapiswing.loop import address_of
 from lapiswing.settings import settings_pb2 as pb
 
@@ -466,7 +466,7 @@
 def router_settings(s, zones):
     """What `Router(seed, settings, now_us)` is given."""
     groups = [
-        EndpointGroup(
+        RequestClass(
             g.name,
             EFFECTS[g.effect],
             SCOPES[g.repeat_scope],
--- a/lapiswing/state/memory.py
+++ b/lapiswing/state/memory.py
@@ -25,20 +25,20 @@
         self.engine, self.unix_ms, self.to_us, self.answer_bytes, self.go_on = engine, unix_ms, to_us, answer_bytes, go_on
         self.counts = {"intents": 0, "intents lost": 0, "restored keys": 0, "unreadable": 0, "not taken": 0}
 
-    def wanted(self, entry):
+    def needs_record(self, entry):
         """Whether this call must be put down before it runs: a repeat that is harmless anywhere need not be known."""
         return self.engine is not None and entry is not None and entry.wide != "always"
 
-    def takes(self, entry):
+    def can_accept(self, entry):
         """-> False: it can't be put down, so it is not taken."""
-        if not self.wanted(entry) or self.go_on or self.engine.mode in ("good", "full") and not self.engine.why:
+        if not self.needs_record(entry) or self.go_on or self.engine.mode in ("good", "full") and not self.engine.why:
             return True
         if self.engine.mode == "full" and self.engine.wall() >= self.engine.again_ms:
             return True  # this one finds out whether there is room again
         self.counts["not taken"] += 1
         return False
 
-    def intent(self, entry):
+    def record_intent(self, entry):
         """Puts it down. `entry.durable` is then None, and a list of those who wait for it until then."""
         now = self.unix_ms()
         # A further try of a call in doubt: boxes drop its repeats for a window from the first try on, not from this one.
@@ -59,15 +59,15 @@
         for tell in waiting or ():
             tell(why)
 
-    def when_noted(self, entry, tell):
+    def when_recorded(self, entry, tell):
         """`tell(why)` once its intent is on the disk (at once where it is): None, or why it can't be."""
-        if entry is None or not self.wanted(entry) or entry.durable is None:
+        if entry is None or not self.needs_record(entry) or entry.durable is None:
             return tell(entry.lost if entry is not None else None)
         entry.durable.append(tell)
 
-    def ended(self, entry, how, answer):
+    def record_outcome(self, entry, how, answer):
         """`how`: done, doubt or free (it never ran)."""
-        if not self.wanted(entry) or entry.noted_ms is None:
+        if not self.needs_record(entry) or entry.noted_ms is None:
             return
         name, now = records.key_name(entry.key), self.unix_ms()
         if how == "free":
@@ -79,14 +79,14 @@
         value, ends = records.outcome(entry, records.DONE if how == "done" else records.DOUBT, entry.noted_ms, now, payloads)
         self.engine.put([(name, value, ends)])
 
-    def drained(self, box, draining, done):
+    def record_drain(self, box, draining, done):
         self.put(b"d/" + box.encode(), b"1" if draining else None, 0, done)
 
-    def capped(self, tenant, rps, until_unix_ms, done):
+    def record_cap(self, tenant, rps, until_unix_ms, done):
         value = msgspec.msgpack.encode(records.CapRecord(float(rps), until_unix_ms)) if rps is not None else None
         self.put(b"c/" + tenant.encode(), value, until_unix_ms if value else 0, done)
 
-    def learnt(self, figures):
+    def save_learned_state(self, figures):
         """Puts down what the decisions learnt; lost without harm."""
         if self.engine is not None and self.engine.mode == "good":
             self.engine.put([(records.LEARNT, records.learnt(figures, self.unix_ms()), 0)], lambda why: None)
--- a/lapiswing/translation.py
+++ b/lapiswing/translation.py
@@ -3,7 +3,7 @@
 
 import re
 
-from lapiswing.interface import EndpointGroup
+from lapiswing.interface import RequestClass
 
 NAMES = {"x0": "held", "x1": "unread"}
 EFFECTS = {"retryable": "replayable", "dedup": "keyed", "fragile": "non-replayable"}
@@ -44,7 +44,7 @@
     per_1000 = family.get("aim_us_per1000_prompt_tokens") or [0] * len(groups)
     tokens = family.get("token_aim_us") or [0] * len(groups)
     out["groups"] = [
-        EndpointGroup(
+        RequestClass(
             g.get("name", ""),
             EFFECTS.get(g.get("effect"), g.get("effect")),
             g.get("group", "all"),
--- a/tests/scale/test_pair_table_slopes.py
+++ b/tests/scale/test_pair_table_slopes.py
@@ -81,7 +81,7 @@
 def test_a_hundred_servers_stand_alone_whatever_their_roles():
     for prefill in (0.1, 0.31, 0.5):
         table = router_of(100, 0).router.table
-        assert not table.racks_a_group and len(table.share) == table.pairs.shape[0]
+        assert not table.racks_per_group and len(table.share) == table.pairs.shape[0]
         assert 100 * prefill * 100 * (1 - prefill) <= SINGLE_PAIRS
 
 
--- a/tests/scale/test_scale_fleet.py
+++ b/tests/scale/test_scale_fleet.py
@@ -21,7 +21,7 @@
 
 def test_a_fleet_whose_servers_share_rows_serves_on_over_a_zone_s_loss():
     fleet = ScaleFleet(1, 10, 300, FleetFault.ZONE, 10, requests_a_gateway=30.0).play()
-    assert all(router.table.racks_a_group for router in fleet.routers)
+    assert all(router.table.racks_per_group for router in fleet.routers)
     served = fleet.served()
     assert served.in_time > 0.8 and served.cold_worst <= 1.0, served
     assert served.in_rack > 0.5  # what is handed over stays near
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -353,12 +353,12 @@
 
 def test_caps():
     caps = Caps()
-    assert caps.allows(0, "a") is None
+    assert caps.retry_after_us(0, "a") is None
     caps.put(0, "a", 2, 10 * S)
-    assert [caps.allows(0, "a") for _ in range(3)] == [None, None, 500_000]
-    assert caps.allows(500_000, "a") is None and caps.allows(500_000, "b") is None
+    assert [caps.retry_after_us(0, "a") for _ in range(3)] == [None, None, 500_000]
+    assert caps.retry_after_us(500_000, "a") is None and caps.retry_after_us(500_000, "b") is None
     caps.put(S, "b", 0, 2 * S)
-    assert caps.allows(2 * S, "b") == S and caps.allows(3 * S, "b") is None and "b" not in caps.caps
+    assert caps.retry_after_us(2 * S, "b") == S and caps.retry_after_us(3 * S, "b") is None and "b" not in caps.caps
     assert caps.lift("a") and not caps.lift("a")
 
 
--- a/tests/test_client_fields.py
+++ b/tests/test_client_fields.py
@@ -25,7 +25,7 @@
             server.fault = record
         door.platform.add("read").fault = record
         door.platform.discovery.tell(*(s.row() for s in door.platform.servers.values()))
-        door.until(lambda: len(door.core.router.table.rows.at) == 2)
+        door.until(lambda: len(door.core.router.table.rows.index_of) == 2)
         client = door.ask("r1", **({} if key is None else {"Idempotency_Key": key}))
         assert not client.whole().cut
         assert client.status == 200 and len(seen) == 3
@@ -36,10 +36,10 @@
 def test_the_owner_is_the_tenant_and_an_unknown_one_uses_nobodys_share(tmp_path, monkeypatch, owner, tenant):
     monkeypatch.setitem(SETTINGS, "Tenants", TENANTS)
     with Door(tmp_path) as door:
-        before = [door.core.router.left_of(i) for i in range(2)]
+        before = [door.core.router.remaining_quota(i) for i in range(2)]
         client = door.ask("r1", Req_Owner=owner)
         door.until(lambda: client.status)
-        used = [a - b for a, b in zip(before, [door.core.router.left_of(i) for i in range(2)])]
+        used = [a - b for a, b in zip(before, [door.core.router.remaining_quota(i) for i in range(2)])]
         assert used == [float(i == tenant) for i in range(2)]
 
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -191,10 +191,10 @@
         play.at(30_100 + 50 * i, play.req(i))
     asked = [line[1] for line in play.sent()]
     assert len(asked) >= 2
-    play.router.asked = 0.5
+    play.router.recent_reqs = 0.5
     for rid in asked[:2]:
         play.at(33_000, play.outcome(int(rid), 0, play.sent()[asked.index(rid)][2], "full"))
-    assert play.router.asked >= 0
+    assert play.router.recent_reqs >= 0
     play.at(33_100, play.req(99))
 
 
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -48,7 +48,7 @@
         assert client.status == 200 and name not in door.node.rows.rows
         assert not door.core.counts["faults"]
         assert (
-            name not in door.core.router.table.rows.at and name not in door.core.router.table.columns.at
+            name not in door.core.router.table.rows.index_of and name not in door.core.router.table.columns.index_of
         )  # the news has been heard
         assert not client.whole().cut
         door.settled()
@@ -71,7 +71,7 @@
         door.core.ask, door.core.router.on_req = ask, fail
         client = door.ask("r1", Req_Deadline="0.300")
         door.until(lambda: door.core.counts["faults"])
-        assert leaving.name not in door.core.router.table.rows.at
+        assert leaving.name not in door.core.router.table.rows.index_of
         door.until(lambda: client.status)
         assert client.status == 502  # the backstop's answer
         again = door.ask("r2")
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,7 +6,7 @@
 import pytest
 from trace import MS, Play, check
 
-from lapiswing.routing.chance import rank
+from lapiswing.routing.randomness import rendezvous_rank
 
 
 def test_read_then_write():
@@ -224,7 +224,7 @@
         play.at(20, play.outcome(1, 0, play.sent()[0][2], "read", 10))
         play.router.reads[:] = 0.0
         play.router.reads[0, 0] = reads
-    play.router.read_mean = play.router.wait_mean = usual * MS
+    play.router.typical_read_us = play.router.typical_wait_us = usual * MS
     play.at(450, ("timer", 0))
     assert bool(play.sent("retract")) == moved
     first = play.sent()[-1]
@@ -279,14 +279,14 @@
         play.at(play.now + took, ("first", i, writer, took * MS, 1), ("timer", 0))
         play.at(play.now + 100, play.outcome(i, 1, writer, "done", took + 100, True))
         left.append(play.router.table.share["r2"])
-    assert left[-1] < 0.6 * left[0] and play.router.hop(play.router.machines["r2"], 1) > 2 * play.router.transfer[1]
+    assert left[-1] < 0.6 * left[0] and play.router.hop(play.router.servers["r2"], 1) > 2 * play.router.transfer[1]
 
 
 def test_full_writers_are_passed_over_by_what_they_tell():
     play = Play(servers=("r0", "w1", "w2"))
 
     def share(name):
-        return play.router.table.writer_shares()[play.router.table.columns.at[name]]
+        return play.router.table.writer_shares()[play.router.table.columns.index_of[name]]
 
     for i in range(40):
         play.at(10 + 300 * i, play.req(i, prefix=f"c:{i}"))
@@ -307,7 +307,7 @@
         writer = old.sent()[-1][2]
         old.at(old.now + 20, ("first", i, writer, 20 * MS, 1), ("timer", 0))
         old.at(old.now + 80, old.outcome(i, 1, writer, "done", 100, True))
-    figures, sent = old.router.learnt(), {}
+    figures, sent = old.router.learned_state(), {}
     for name, age in (("fresh", None), ("kept", 5000), ("outdated", 700_000)):
         new = Play(
             servers=(),
@@ -315,7 +315,7 @@
             family_info={"duty_by_kind": ["write", "read"], "kind_memory_tokens": [200000] * 2, "far_price": 0.04},
         )
         if age is not None:
-            new.out.lines.append("log " + new.router.take_up(figures, age * MS))
+            new.out.lines.append("log " + new.router.restore_learned_state(figures, age * MS))
         row = new.server("r7")._replace(kind=1, started_us=MS)
         new.at(1, ("servers", "replace", [row, new.server("w8")._replace(kind=0, started_us=MS)]))
         for i in range(40):
@@ -324,16 +324,18 @@
                 new.at(new.now + 5, new.outcome(i, 0, line[2], "read", 5))
                 new.at(new.now + 5, *[("first", i, s[2], 5 * MS, 1) for s in new.sent() if s[1] == str(i)][-1:])
         sent[name] = sum(s[2] == "r7" for s in new.sent())
-    assert old.router.take_up(figures, 0) == "taken up: 3 of 3 kinds, 1 of 1 groups, 2 boxes"
+    assert old.router.restore_learned_state(figures, 0) == "taken up: 3 of 3 kinds, 1 of 1 groups, 2 boxes"
     assert all(10 <= n <= 28 for n in sent.values()), sent  # of 40; that part needs nothing learnt
 
 
 def test_only_the_same_start_of_a_box_keeps_its_figures():
     play = Play(kinds=["rd", "wr", "mx"], servers=())
-    play.router.take_up({"groups": [], "kinds": [], "boxes": [["r0", 5 * MS, 0.9, 1e6, 1e4], ["r1", 5 * MS, 0.9, 1e6, 1e4]]}, 0)
+    play.router.restore_learned_state(
+        {"groups": [], "kinds": [], "boxes": [["r0", 5 * MS, 0.9, 1e6, 1e4], ["r1", 5 * MS, 0.9, 1e6, 1e4]]}, 0
+    )
     play.at(10, ("servers", "replace", [play.server("r0", 5 * MS), play.server("r1", 6 * MS), play.server("w2")]))
-    r0, r1 = play.router.machines["r0"], play.router.machines["r1"]
-    assert r0.suspect and r0.read_tokens == 1e4 and not r1.suspect and r1.read_tokens == 0
+    r0, r1 = play.router.servers["r0"], play.router.servers["r1"]
+    assert r0.ejected and r0.read_tokens == 1e4 and not r1.ejected and r1.read_tokens == 0
 
 
 @pytest.mark.parametrize(
@@ -348,7 +350,7 @@
 def test_senseless_figures_are_not_taken_up(figures):
     play = Play(kinds=["rd", "wr", "mx"])
     with pytest.raises((ValueError, TypeError, LookupError)):
-        play.router.take_up(figures, 0)
+        play.router.restore_learned_state(figures, 0)
     assert play.router.kind_cost[0] == [0.0, 0.0]
 
 
@@ -374,7 +376,7 @@
     left = []
     for size in (4, 40):
         play = Play(servers=[f"r{i}" for i in range(size)] + [f"w{i}" for i in range(size)])
-        play.router.machines["r0"].bad = 0.9
+        play.router.servers["r0"].failure_score = 0.9
         for i in range(20):
             play.at(10 + 300 * i, play.req(i, prefix=f"c:{i}"))
             play.at(100 + 300 * i, play.outcome(i, 0, play.sent()[-1][2], "read"), ("client_left", i))
@@ -406,10 +408,10 @@
         names = names[2:] + (f"r{i}a", f"w{i}a")
         play.at(200 + 100 * i, ("servers", "replace", [play.server(n) for n in names]))
     router = play.router
-    assert set(router.machines) == {*names, reader, writer}  # its stream still runs there
+    assert set(router.servers) == {*names, reader, writer}  # its stream still runs there
     play.at(5000, play.outcome(1, 1, writer, "done", 4900, True))
     play.at(5100, ("servers", "replace", [play.server(n) for n in names]))
-    assert list(router.machines) == list(names) and [m.at for m in router.machines.values()] == [0, 1, 2, 3]
+    assert list(router.servers) == list(names) and [m.at for m in router.servers.values()] == [0, 1, 2, 3]
     assert (
         router.table.pairs.shape == (2, 2)
         and len(router.table.share) == 2
@@ -430,7 +432,7 @@
         begin = 20_000 if seed in fresh else 0
         for i in range((20_000 + 1000 * seconds - begin) // step):
             at = begin + 100 + step * i + seed * step // gateways
-            if at >= 20_000 and not play.router.machines["r9"].started_us:
+            if at >= 20_000 and not play.router.servers["r9"].started_us:
                 play.at(at, ("servers", "update", [play.server(r, started_us=20_000 * MS) for r in new]))
             play.at(at, play.req(i, prefix=f"c:{(i * 5 + seed * 3) % 7}"))
             if at >= 20_000:
@@ -470,7 +472,7 @@
     first = Counter()
     for n in range(4000):
         key = f"{n * 0x9E3779B97F4A7C15 % 2**64:016x}"
-        first.update(sorted((r.id for r in play.router.readers), key=lambda m: -rank(key, play.router.machines[m]))[:2])
+        first.update(sorted((r.id for r in play.router.readers), key=lambda m: -rendezvous_rank(key, play.router.servers[m]))[:2])
     assert max(first.values()) < 1.35 * 8000 / 24 and min(first.values()) > 0.65 * 8000 / 24, first
 
 
@@ -554,7 +556,7 @@
     """Else a zone that was lost and is listed again stays out for a pause: seconds, where reqs are rare."""
     play = Play(servers=())
     zone = zones_of(play)
-    play.router.lost = {1: {"r1": 10 * MS, "w7": 10 * MS}}
+    play.router.unreachable_by_zone = {1: {"r1": 10 * MS, "w7": 10 * MS}}
     for rid in range(20):
         play.at(20 + rid, play.req(rid, prefix=f"c:{rid}"))
     assert not any(zone[line[2]] == 1 for line in play.sent())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -71,7 +71,7 @@
         monkeypatch.setattr(net.socket, "socket", real)
         assert kept.status == 503 and b"retry-after" in kept.got.lower()
         router = door.core.router
-        assert not router.lost and all(m.bad < 0.01 and not m.suspect for m in router.machines.values())
+        assert not router.unreachable_by_zone and all(m.failure_score < 0.01 and not m.ejected for m in router.servers.values())
         client.send(head("a2") + BODY)
         assert client.whole().status == 200
         door.settled()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -221,7 +221,7 @@
         began = door.loop.clock.now_us()
         server.status = "DRAINING"
         discovery.tell(server.row())
-        door.until(lambda: door.core.router.machines["s-1"].mode == "draining", 6 * S)
+        door.until(lambda: door.core.router.servers["s-1"].mode == "draining", 6 * S)
         assert door.loop.clock.now_us() - began < LIMIT_US
         assert all(door.ask(f"a{i}").whole().status == 200 for i in range(3))
         assert {row[0] for row in door.platform.seen(b"POST")} == {"s-2"}
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -145,7 +145,11 @@
 
 
 def remembered(router):
-    return {m.id: (round(m.bad, 6), m.suspect) for m in router.machines.values()}, dict(router.lost), router.failing
+    return (
+        {m.id: (round(m.failure_score, 6), m.ejected) for m in router.servers.values()},
+        dict(router.unreachable_by_zone),
+        router.failing,
+    )
 
 
 @pytest.mark.parametrize("name", ["EADDRNOTAVAIL", "ENOBUFS", "ENETUNREACH", "ENOMEM", "ENFILE"])
@@ -199,7 +203,7 @@
         ports.code = None
         assert client.whole().status == 200
         assert [row[0] for row in door.platform.seen(b"POST")] == [new.name]
-        assert not door.core.router.lost
+        assert not door.core.router.unreachable_by_zone
         door.settled()
 
 
@@ -298,7 +302,7 @@
 
 
 def test_each_stage_of_a_failed_exchange_has_its_outcome_on_both_wires():
-    stages = {"local": "moot", "no way": "no_way", "connect": "unreachable", "unsent": "unreachable"}
+    stages = {"local": "moot", "no route": "no_way", "connect": "unreachable", "unsent": "unreachable"}
     may_have_run = dict.fromkeys(("sent", "head", "body"), "reset")
     for table in (engine_outcomes, node_outcomes):
         assert {stage: table.of_failure(stage) for stage in stages | may_have_run} == stages | may_have_run
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -35,7 +35,7 @@
     more = 'mapping { load_memory: "x0" } limits { keep_forwards: true }' if named else ""
     with Place(more=more) as place:
         assert status(send(place, chat(tokens=5)).until()) == 200
-        told = [m.id for m in place.core.router.machines.values() if m.held_at > 0]
+        told = [m.id for m in place.core.router.servers.values() if m.memory_reported_us > 0]
         assert bool(told) == named and place.core.router.may_cancel != named
 
 
@@ -329,8 +329,8 @@
     """They were once put on a list of events that had been handed over already, and shares never moved."""
     with Place() as place:
         send(place, chat(tokens=3)).until()
-        before = place.core.router.moved_us
-        place.until(lambda: place.core.router.moved_us > before)
+        before = place.core.router.refreshed_us
+        place.until(lambda: place.core.router.refreshed_us > before)
 
 
 def test_a_release_that_a_hung_box_did_not_hear_is_sent_again():
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,7 +6,7 @@
 from platform_door import Door, Quiet
 
 from lapiswing.gateway.guards import Check, Guards, History
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 
 
 class Call:
@@ -14,7 +14,7 @@
 
 
 def guards(effect="replayable", scope="all", second_copies=True):
-    group = EndpointGroup("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
+    group = RequestClass("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
     return Guards([group], 1000 * MS, second_copies, Quiet())
 
 
@@ -90,11 +90,11 @@
         old, other = door.platform.servers.values()
         old.status = other.status = "DRAINING"
         door.platform.discovery.tell(old.row(), other.row())
-        door.until(lambda: all(m.mode == "draining" for m in door.core.router.machines.values()))
+        door.until(lambda: all(m.mode == "draining" for m in door.core.router.servers.values()))
         door.core.guards.off_us = {name: at - 2000 * MS for name, at in door.core.guards.off_us.items()}
-        for machine in door.core.router.machines.values():
+        for machine in door.core.router.servers.values():
             machine.mode = "ready"  # the fault: it has forgotten what it was told
-        door.core.router.use(list(door.core.router.machines.values()))
+        door.core.router.set_ready_servers(list(door.core.router.servers.values()))
         door.core.router.table.arrange(door.core.router.readers, door.core.router.writers)
         door.core.router.refresh()
         assert door.ask("a1").whole().status == 503
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -307,12 +307,12 @@
         door.until(lambda: len(door.node.rows.rows) == 2)
         old.status = "DRAINING"
         platform.discovery.tell(old.row())
-        door.until(lambda: door.core.router.machines["s-1"].mode == "draining")
+        door.until(lambda: door.core.router.servers["s-1"].mode == "draining")
         for i in range(4):
             assert door.ask(f"a{i}").whole().status == 200
         assert {row[0] for row in platform.seen(b"POST")} == {"s-2"}
         platform.discovery.tell(platform.remove(old))
-        door.until(lambda: "s-1" not in door.core.router.machines)
+        door.until(lambda: "s-1" not in door.core.router.servers)
         assert "s-1" not in door.core.kinds and "s-1" not in door.node.servers.addresses
 
 
@@ -604,8 +604,8 @@
         door.settled()
         door.until(lambda: not door.node.server.connections)
         router = core.router
-        assert len(router.machines) <= 3 and len(core.kinds) <= 3 and len(core.tally.boxes) <= 3
-        assert max(router.table.pairs.shape) <= 3 and len(router.taken) <= 3 and not router.reqs and not core.ended
+        assert len(router.servers) <= 3 and len(core.kinds) <= 3 and len(core.tally.boxes) <= 3
+        assert max(router.table.pairs.shape) <= 3 and len(router.served) <= 3 and not router.reqs and not core.ended
         assert len(door.node.pool.count) <= 2 and len(door.node.pool.all) <= 2 * door.node.pool.kept
         assert len(door.loop.watched) < 40 and len([t for t in door.loop.timers if t[2].call is not None]) < 20
 
@@ -713,7 +713,7 @@
         router.round(now, [members.list(list(rows.rows.values()), now)], out)
         for n in range(3):
             router.round(now, [("req", f"{step}.{n}", 900, now + 5 * S, f"k{n}", None, 0, 200, None, 0, 0, 0)], out)
-        assert sum(m.mode == "ready" for m in router.machines.values()) == (1100, 1060, 1100)[step]
+        assert sum(m.mode == "ready" for m in router.servers.values()) == (1100, 1060, 1100)[step]
         assert time.process_time() - before < (20 if step == 0 else 5)
     to = [int(line.split()[2][2:]) for line in out.lines if line.startswith("forward ")]
     assert [n >= 2000 for n in to] == [False] * 6 + [True] * 3
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -10,7 +10,7 @@
 
 
 def ask(repeats, at, key="k", body=b"a", wide="boxes"):
-    return repeats.ask(at * MS, key, body, W, wide)
+    return repeats.look_up(at * MS, key, body, W, wide)
 
 
 def test_each_state_by_name():
@@ -18,8 +18,8 @@
     what, entry, latest = ask(repeats, 0)
     assert (what, latest) == ("new", None)
     assert ask(repeats, 1)[0] == "join" and ask(repeats, 1, body=b"b")[0] == "conflict"
-    repeats.sent(entry, 2 * MS)
-    repeats.done(entry, 10 * MS, "answer", 100)
+    repeats.mark_sent(entry, 2 * MS)
+    repeats.mark_done(entry, 10 * MS, "answer", 100)
     assert ask(repeats, 20)[:2] == ("replay", entry)
     assert ask(repeats, 5011)[0] == "new"  # the boxes have forgotten it, and so has the gateway
 
@@ -27,24 +27,24 @@
 def test_a_doubt_bounds_the_next_try_by_the_boxes_memory_and_outlives_it():
     repeats = Repeats(10, 1000)
     entry = ask(repeats, 0)[1]
-    repeats.sent(entry, 3 * MS)
-    repeats.doubted(entry, 900 * MS)
+    repeats.mark_sent(entry, 3 * MS)
+    repeats.mark_in_doubt(entry, 900 * MS)
     what, again, latest = ask(repeats, 1000)
     assert (what, latest) == ("new", 3 * MS + W)
-    repeats.never_ran(again)  # pushed back, but the first try may have run all the same
+    repeats.mark_never_ran(again)  # pushed back, but the first try may have run all the same
     assert ask(repeats, 4000)[0] == "new"
-    repeats.doubted(again, 4100 * MS)
+    repeats.mark_in_doubt(again, 4100 * MS)
     assert ask(repeats, 5100)[0] == "doubt" and ask(repeats, 59000)[0] == "doubt"
 
 
 def test_doubt_where_not_all_boxes_drop_repeats():
     repeats = Repeats(10, 1000)
     entry = ask(repeats, 0, wide="")[1]
-    repeats.doubted(entry, 5 * MS)  # nothing was sent that could have run
+    repeats.mark_in_doubt(entry, 5 * MS)  # nothing was sent that could have run
     entry = ask(repeats, 6, wide="")[1]
     assert entry.state == "running"
-    repeats.sent(entry, 7 * MS)
-    repeats.doubted(entry, 8 * MS)
+    repeats.mark_sent(entry, 7 * MS)
+    repeats.mark_in_doubt(entry, 8 * MS)
     assert ask(repeats, 9, wide="")[0] == "doubt"
 
 
@@ -52,9 +52,9 @@
     repeats = Repeats(2, 1000)
     first, second = ask(repeats, 0, "a")[1], ask(repeats, 0, "b")[1]
     assert ask(repeats, 1, "c")[0] == "full"
-    repeats.sent(first, MS)
-    repeats.doubted(first, MS)
-    repeats.done(second, 3 * MS, "answer", 10)
+    repeats.mark_sent(first, MS)
+    repeats.mark_in_doubt(first, MS)
+    repeats.mark_done(second, 3 * MS, "answer", 10)
     assert ask(repeats, 4, "c")[0] == "full"
     assert ask(repeats, 5004, "c")[0] == "new" and "a" in repeats.entries and "b" not in repeats.entries
 
@@ -63,8 +63,8 @@
     repeats = Repeats(100, 1000)
     for i in range(20):
         entry = ask(repeats, i, f"k{i}", wide="")[1]
-        repeats.sent(entry, i * MS)
-        repeats.done(entry, i * MS, "answer", 300)
+        repeats.mark_sent(entry, i * MS)
+        repeats.mark_done(entry, i * MS, "answer", 300)
         assert repeats.bytes <= 1000
     assert ask(repeats, 30, "k0", wide="")[0] == "doubt"  # it did run; its answer is gone
     assert ask(repeats, 30, "k19", wide="")[0] == "replay"
@@ -84,7 +84,7 @@
         now += past
         entry = entries.get(key)
         if what == "ask":
-            said, entry, latest = repeats.ask(now, key, b"", W, wide)
+            said, entry, latest = repeats.look_up(now, key, b"", W, wide)
             if said == "new":
                 if key in ran and entry.sent_us is not None:
                     assert wide and latest == ran[key] + W > now
@@ -95,12 +95,12 @@
         elif entry is not None and repeats.entries.get(key) is entry and entry.state == "running":
             if what == "sent" and (until[key] is None or now < until[key]):
                 ran.setdefault(key, now)
-                repeats.sent(entry, now)
+                repeats.mark_sent(entry, now)
             elif what == "done" and key in ran:
-                repeats.done(entry, now, "answer", 200)
+                repeats.mark_done(entry, now, "answer", 200)
             elif what == "doubt":
-                repeats.doubted(entry, now)
+                repeats.mark_in_doubt(entry, now)
             elif what == "back":
-                repeats.never_ran(entry)
+                repeats.mark_never_ran(entry)
         assert repeats.bytes == sum(e.size for e in repeats.entries.values()) <= 500
         assert len(repeats.entries) <= 2
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -28,8 +28,8 @@
 
 def cold_for_us(door, server):
     """How long a server is held for cold from now on, at the most."""
-    machine = door.core.router.machines[server.name]
-    left = machine.started_us + door.core.router.cold_us - door.loop.clock.now_us()
+    machine = door.core.router.servers[server.name]
+    left = machine.started_us + door.core.router.slow_start_us - door.loop.clock.now_us()
     return max(0, left) if machine.started_us else 0
 
 
@@ -50,7 +50,7 @@
     monkeypatch.setattr(platform.ModelServer, "__init__", just_started)
     step(seconds)
     with Door(tmp_path, ("both", "both", "both")) as door:
-        ramp = door.core.router.cold_us
+        ramp = door.core.router.slow_start_us
         for server in door.platform.servers.values():
             new = fleet == "all" or server.name == "s-2"
             assert ramp - 1200 * MS <= cold_for_us(door, server) <= ramp if new else not cold_for_us(door, server)
@@ -65,7 +65,7 @@
         server.since_ms = unix_ms()
         door.platform.discovery.tell(server.row())
         door.until(lambda: cold_for_us(door, server))
-        assert door.core.router.cold_us - 300 * MS <= cold_for_us(door, server) <= door.core.router.cold_us
+        assert door.core.router.slow_start_us - 300 * MS <= cold_for_us(door, server) <= door.core.router.slow_start_us
 
 
 @pytest.mark.parametrize("seconds", [HOUR_S, -HOUR_S])
@@ -76,12 +76,12 @@
         server.since_ms = unix_ms()
         door.platform.discovery.tell(server.row())
         door.until(lambda: cold_for_us(door, server))
-        placed = door.core.router.machines[server.name].started_us
+        placed = door.core.router.servers[server.name].started_us
         step(seconds)
         other.status = "DRAINING"
         door.platform.discovery.tell(server.row(), other.row())
-        door.until(lambda: door.core.router.machines[other.name].mode == "draining")
-        assert door.core.router.machines[server.name].started_us == placed
+        door.until(lambda: door.core.router.servers[other.name].mode == "draining")
+        assert door.core.router.servers[server.name].started_us == placed
 
 
 def test_servers_that_started_a_ramp_before_the_newest_are_warm_whatever_the_clock_shows(tmp_path, step, monkeypatch):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -185,7 +185,7 @@
 
 def test_records_that_are_over_or_unreadable_are_not_believed():
     repeats = Repeats(10, 1000)
-    entry = repeats.ask(0, "k", b"p", 5_000_000, "boxes")[1]
+    entry = repeats.look_up(0, "k", b"p", 5_000_000, "boxes")[1]
     running, ends = records.intent(entry, 1000, 1000)
     done, done_ends = records.outcome(entry, records.DONE, 1000, 2000, [b"{}"])
     doubt, doubt_ends = records.outcome(entry, records.DOUBT, 1000, 2000, None)
@@ -349,7 +349,7 @@
     with with_store(tmp_path / "s") as place:
         for text in ("one", "two", "three"):
             assert status(call(place, key=text, text=text).until()) == 200
-        before = place.core.router.learnt()
+        before = place.core.router.learned_state()
         assert before["groups"][1][1] > 0 and any(row[4] for row in before["boxes"]) and before["kinds"][0][2] > 0
         place.gateway.put_learnt()
         place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
@@ -357,7 +357,7 @@
         router = place.core.router
         reader = place.specs[0].id
         assert router.kind_cost[0] == before["kinds"][0][2:4] and router.answer_us[1] == before["groups"][1][1]
-        assert router.machines[reader].read_tokens == next(r[4] for r in before["boxes"] if r[0] == reader)
+        assert router.servers[reader].read_tokens == next(r[4] for r in before["boxes"] if r[0] == reader)
         assert status(call(place, key="four", text="four").until()) == 200
         for value in (
             b"\xc1",
--- a/tests/trace.py
+++ b/tests/trace.py
@@ -3,7 +3,7 @@
 import os
 from pathlib import Path
 
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 from lapiswing.policy import Router
 
 MS = 1000
@@ -25,7 +25,7 @@
     """One router and its trace; `at(ms, event...)` is one round."""
 
     def __init__(self, effect="replayable", scope="all", servers=("r0", "r1", "w2", "w3"), started_us=0, seed=7, **changes):
-        group = EndpointGroup("chat", effect, scope, 5000 * MS, 1000 * MS, 40 * MS, 60 * MS, 1.0, 0.3)
+        group = RequestClass("chat", effect, scope, 5000 * MS, 1000 * MS, 40 * MS, 60 * MS, 1.0, 0.3)
         settings = {
             "balancers": 2,
             "az": 0,
