--- a/lapiswing/policy.py
+++ b/lapiswing/policy.py
@@ -1,6 +1,11 @@
-"""All decisions of lapiswing. A host calls Router(seed, settings, now_us) once and then
-router.round(now_us, events, out) each round; events, codes and the writer are in lapiswing/interface.py.
-The ordinary path is the pair table and shares of docs/design.md; the rest guards it when things fail."""
+"""All routing decisions of lapiswing.
+
+A host creates one Router(seed, settings, now_us) and calls router.round(now_us, events, out) each round; events, outcome codes
+and the writer are described in lapiswing/interface.py. Prefill servers are called readers and decode servers writers; the
+stages are "read" (prefill), "write" (decode) and "direct" (both on one mixed server).
+
+The normal path is the pair table with its shares (docs/design.md): a request is read by a prefill server drawn by share, then
+written by a decode server drawn by the shares of that reader. Everything else handles failures, overload and slow start."""
 
 from bisect import bisect_left
 from itertools import accumulate
@@ -9,78 +14,87 @@
 import numpy as np
 
 from lapiswing.routing import learned_state
-from lapiswing.routing.pair_table import MIDDLES, STEPS, PairTable
+from lapiswing.routing.pair_table import BIN_EDGES_US, BIN_MIDDLES_US, PairTable
 from lapiswing.routing.randomness import SeededRandom, rendezvous_rank
 from lapiswing.routing.state import Demand, Load, RequestState, RouterState, ServerState
 
 MS = 1000
-REFRESH_US = 250 * MS  # how often, while something is out or new, scores are made anew and shares move
-NEWS = 4  # outcomes that make a refresh worth its cost before a second has passed
-PAIRS_A_NEWS = 1000  # of groups: where they are many, more outcomes make a refresh worth its cost
-FIRST_PAIRS = 200_000  # looked at before the first req
-NEAR = 0.3  # shares above this part of the best are near it
-MEMORY_US = (2000 * MS, 10000 * MS)  # measurements are halved no sooner and no later than this
-PRIOR = 2.0  # outcomes' worth of its kind's average in each server's histogram
-HELD_US, TOLD = 5000 * MS, 0.4  # half life of what a writer told of its memory; what a full one takes off
-FULL = 0.8  # told share of memory from which a writer's wait is a queue and no lost answer
-# What a repeat keeps clear of its window's end: a gateway that is held up between its clock and its write, and the way.
-WINDOW_CLEAR_US = 200 * MS
-LEAST_BAD, LEAST_SEEN = 0.01, 0.01  # failure score worth carrying over; requests that tell a mean prompt
-LEARNT_US = 600 * 1000 * MS  # figures of an earlier life older than this are not taken up
-COLD_PART = 0.6  # part used of what the rule lets a cold server be sent
-# Part of the time to let go that connections may use to come up, then each so little: a forward is not out
-# before, and the rest is the release's. Could harm where all are slow to come up.
-UP_PART, LEAST_UP_US = 0.75, 10 * MS
-UNCLAIMED_PART = 0.92  # of the time to let go, after which a state is released that no decode server has answered for
-COLD_HOMES = 2  # a prefix goes to every so many-th cold reader; no one's turns grow by more, whatever is hot,
-COLD_HOT = 0.1  # and a hot one to so many that it adds this part at the most to any one's
-COLD_LONG = 1.5  # part of what the rule allows for chance that a prompt may take where no server is warm
-RUSH_US = 1000 * MS  # half life of the count of own reqs that a rush shows in
-REPEAT = 2 | 16  # bits of a req that its client has sent before
-LATE_READS = 0.5  # own recent reads for each prefill server that tell a late attempt from a common jam
-NEVER_RAN = ("full", "unreachable", "no_way", "moot")  # outcomes that prove it
-NEVER_OUT = ("unreachable", "no_way", "moot")  # nothing has arrived
+REFRESH_US = 250 * MS  # interval at which scores are recomputed and shares move, while requests are open or outcomes are new
+MIN_NEW_OUTCOMES = 4  # enough to refresh before a second has passed since the last refresh
+PAIRS_PER_OUTCOME = 1000  # with grouped servers a refresh costs more, so one outcome per so many pairs is required
+INITIAL_PAIR_UPDATES = 200_000  # pairs scored, over all refreshes, before the first request
+NEAR_BEST_FRACTION = 0.3  # shares above this fraction of the best are treated as equally good
+HALVING_INTERVAL_US = (2000 * MS, 10000 * MS)  # measurements are halved no sooner and no later than this
+PRIOR_OUTCOMES = 2.0  # weight of the average of a server's kind in its histogram, in outcomes
+# Half life of a decode server's report on its memory; what is taken off its score when it reports all memory in use.
+MEMORY_REPORT_HALF_LIFE_US, FULL_MEMORY_PENALTY = 5000 * MS, 0.4
+MEMORY_FULL_FRACTION = 0.8  # from this reported use of memory a long wait means queueing, not a lost answer
+# Margin before the end of the window in which servers drop repeats: covers a gateway that is held up between reading its clock
+# and writing, and the network delay.
+REPEAT_WINDOW_MARGIN_US = 200 * MS
+# Lower failure scores are not saved for the next process; requests seen besides the present one that define a mean prompt.
+MIN_SAVED_FAILURE_SCORE, MIN_OTHER_REQUESTS = 0.01, 0.01
+MAX_LEARNED_STATE_AGE_US = 600 * 1000 * MS  # older state of a previous process is ignored
+SLOW_START_FRACTION = 0.6  # part of what the overload rule allows that a cold server is actually sent
+# Part of the limit for releasing a state that connections may take to be established; after that each attempt gets the minimum.
+# An attempt counts as sent only once its connection is up, and the rest of the time is left for the release. Drawback: where
+# all servers accept slowly, requests fail early.
+CONNECT_FRACTION, MIN_CONNECT_US = 0.75, 10 * MS
+CLAIM_FRACTION = 0.92  # part of the limit for releasing a state after which one without an answer to its write is released
+# Prefix affinity among cold readers: a prefix uses every n-th of them, so no reader's admission grows by more than this factor.
+COLD_AFFINITY_FACTOR = 2
+COLD_POPULAR_INCREASE = 0.1  # a popular prefix is spread so that it adds at most this part to any cold reader's admission
+COLD_PROMPT_ALLOWANCE = 1.5  # factor on the allowance for random variation that one prompt may use where no server is warm
+BURST_HALF_LIFE_US = 1000 * MS  # of the count of own requests that reveals a burst
+RETRY_BITS = 2 | 16  # flags of a request that its client has sent before
+MIN_READS_PER_READER = 0.5  # own recent reads per prefill server needed to tell a late attempt from general congestion
+NEVER_RAN = ("full", "unreachable", "no_way", "moot")  # outcomes which prove that the server did not run the attempt
+NEVER_SENT = ("unreachable", "no_way", "moot")  # outcomes without any bytes at the server
 FAILURES = ("error", "reset", "unreachable", "timed_out")
 
 
 class Router(RouterState):
+    """Decides where each request is read and written, and when it is retried, rejected or failed."""
+
     def __init__(self, seed, settings, now_us):
         limits, rules, prices, family = (settings[k] for k in ("limits", "rules", "penalties", "family_info"))
-        super().__init__(now_us, len(settings["groups"]), len(family["duty_by_kind"]), len(MIDDLES))
-        self.chance, self.groups = SeededRandom(seed), settings["groups"]
+        super().__init__(now_us, len(settings["groups"]), len(family["duty_by_kind"]), len(BIN_MIDDLES_US))
+        self.random, self.request_classes = SeededRandom(seed), settings["groups"]
         self.gateways, self.zone = max(1, settings.get("balancers", 1)), settings.get("az", 0)
-        self.most_forwards, self.may_cancel = limits["max_attempts"], limits.get("cancel", False)
-        memory = [max(1, m) / self.gateways for m in family["kind_memory_tokens"]]
-        self.kinds = list(zip(family["duty_by_kind"], memory))  # role, and this router's part of memory
+        self.max_attempts, self.may_cancel = limits["max_attempts"], limits.get("cancel", False)
+        memory_tokens = [max(1, m) / self.gateways for m in family["kind_memory_tokens"]]
+        self.kinds = list(zip(family["duty_by_kind"], memory_tokens))  # role, and this gateway's part of a server's memory
         self.table = PairTable(self.zone, family.get("far_price", 0.0), prices.get("cross_zone", 0.0))
-        self.come_back_us = limits.get("max_retry_after_us", 0) if limits.get("retry_after") else 0
-        # A prompt token's read cost until one is heard: what the response target allows it.
-        self.start_cost = max([g.target_per_1000_us / 1000 for g in self.groups] + [0.0]) or 50.0
+        self.max_retry_after_us = limits.get("max_retry_after_us", 0) if limits.get("retry_after") else 0
+        # Read time per prompt token until one is measured: what the TTFT target allows for it.
+        self.initial_us_per_token = max([c.target_per_1000_us / 1000 for c in self.request_classes] + [0.0]) or 50.0
         self.margin_us, self.cold_multiple = settings.get("resolution_us", MS), rules["fall_multiple"]
         self.cold_from, self.slow_start_us = rules["cold_from"], rules["ramp_time_us"] * 1.2
-        self.fall_us = rules["overload_for_us"]  # the window in which a cold server's work is counted
-        let_go_us = family.get("let_go_by_us") or 500 * MS
-        self.up_us, self.unclaimed_us = int(let_go_us * UP_PART), int(let_go_us * UNCLAIMED_PART)
-        self.asks = settings.get("membership_mode") == "subscribe"
+        self.overload_window_us = rules["overload_for_us"]  # in which a cold server's work is counted
+        release_limit_us = family.get("let_go_by_us") or 500 * MS
+        self.connect_us, self.claim_us = int(release_limit_us * CONNECT_FRACTION), int(release_limit_us * CLAIM_FRACTION)
+        self.must_subscribe = settings.get("membership_mode") == "subscribe"
         self.quota = [t.get("quota_rps", 0) / self.gateways for t in settings.get("tenants") or []]
-        self.spare, self.pause_us = 10.0, 1000 * MS  # forwards to spare; between two trials of a suspect
-        self.names = settings.get("kinds") or []
+        self.retry_budget, self.probe_interval_us = 10.0, 1000 * MS  # attempts; time between two probes of an ejected server
+        self.kind_names = settings.get("kinds") or []
 
-    def learned_state(self):  # what a later process may start from
-        return learned_state.save(self, LEAST_BAD)
+    def learned_state(self):
+        """What the next process may start from: plain lists and dicts."""
+        return learned_state.save(self, MIN_SAVED_FAILURE_SCORE)
 
-    def restore_learned_state(self, learnt, age_us):
-        """Starts from an earlier process's figures, before the first list; -> a line on what was taken up."""
-        if not 0 <= age_us <= LEARNT_US:
-            return f"nothing taken up: {age_us // (1000 * MS)} s old"
-        return learned_state.restore(self, learnt)
+    def restore_learned_state(self, saved, age_us):
+        """Starts from the state of a previous process, before the first list. -> a text on what was restored."""
+        if not 0 <= age_us <= MAX_LEARNED_STATE_AGE_US:
+            return f"nothing restored: {age_us // (1000 * MS)} s old"
+        return learned_state.restore(self, saved)
 
     def round(self, now_us, events, out):
+        """Handles the events that came in since the last round and writes the resulting actions to `out`."""
         self.now, self.out = now_us, out
         for name, *fields in events:
             getattr(self, "on_" + name)(*fields)
-        if not self.timer and (self.news or self.reqs or self.asks and not self.subscribed):
-            self.timer = True
+        if not self.timer_set and (self.new_outcomes or self.reqs or self.must_subscribe and not self.subscribed):
+            self.timer_set = True
             out.timer(REFRESH_US, 0)
 
     def on_servers(self, kind, rows):
@@ -90,612 +104,683 @@
         for row in rows:
             if row.id not in self.servers:
                 self.servers[row.id] = ServerState(row, self.kinds, len(self.servers))
-            machine, carried = self.servers[row.id], self.carried.pop(row.id, None)
-            if carried and abs(carried[0] - row.started_us) < MS:  # the same start of it
-                _, machine.failure_score, machine.read_us, machine.read_tokens = carried
-                machine.ejected = machine.failure_score > 0.5
-            if row.started_us != machine.started_us:  # it has kept nothing, and its old troubles are over
-                machine.cached_prefixes, machine.failure_score, machine.ejected = {}, 0.0, False
-                self.reads[machine.at] = self.waits[machine.at] = 0.0
-            machine.listed(row, self.kinds)
-        named = {row.id for row in rows}
-        for machine in [m for m in self.servers.values() if kind != "update" and m.id not in named]:
-            machine.mode = "gone"
-        self.keep_measurements()
-        self.level_pairs()
-
-    def level_pairs(self):
-        ready = [m for m in self.servers.values() if m.mode == "ready"]
-        self.cold_until = max([m.started_us + self.slow_start_us for m in ready if m.started_us], default=0)
+            server, restored = self.servers[row.id], self.restored_servers.pop(row.id, None)
+            if restored and abs(restored[0] - row.started_us) < MS:  # the same start of this server
+                _, server.failure_score, server.read_us, server.read_tokens = restored
+                server.ejected = server.failure_score > 0.5
+            if row.started_us != server.started_us:  # a restart empties its cache and ends its earlier failures
+                server.cached_prefixes, server.failure_score, server.ejected = {}, 0.0, False
+                self.read_histogram[server.row] = self.wait_histogram[server.row] = 0.0
+            server.update_from_list(row, self.kinds)
+        listed = {row.id for row in rows}
+        for server in [s for s in self.servers.values() if kind != "update" and s.id not in listed]:
+            server.mode = "gone"
+        self.resize_tables()
+        self.rebuild_pairs()
+
+    def rebuild_pairs(self):
+        """Arranges the pair table for the servers that are ready now."""
+        ready = [s for s in self.servers.values() if s.mode == "ready"]
+        self.cold_until = max([s.started_us + self.slow_start_us for s in ready if s.started_us], default=0)
         self.set_ready_servers(ready)
         self.table.arrange(self.readers, self.writers)
-        # By what is known without outcomes; less often for many pairs, as nobody is served meanwhile.
+        # Before the first request, by what is known without outcomes: fewer times for many pairs, since no request is served
+        # meanwhile.
         pairs = max(1, len(self.readers) * len(self.writers))
-        for _ in range(0 if self.refreshed_us else min(12, max(2, FIRST_PAIRS // pairs))):
+        for _ in range(0 if self.refreshed_us else min(12, max(2, INITIAL_PAIR_UPDATES // pairs))):
             self.refresh()
         self.refreshed_us = self.refreshed_us or self.now
 
     def on_timer(self, token):
         if token:
-            return self.look_at_claim(token)
-        self.timer = False
-        if self.asks and not self.subscribed and self.now >= self.ask_us:
-            self.ask_us = self.now + 1000 * MS
-            self.out.watch(True)  # not asked yet, the call failed or the subscription broke
-        worth = self.table.pairs.size / PAIRS_A_NEWS if self.table.racks_per_group else 0
-        if self.news >= max(NEWS, worth) or self.now - self.refreshed_us >= 4 * REFRESH_US:
-            self.measure(max(1, self.now - self.refreshed_us))
+            return self.check_claim(token)
+        self.timer_set = False
+        if self.must_subscribe and not self.subscribed and self.now >= self.subscribe_again_us:
+            self.subscribe_again_us = self.now + 1000 * MS
+            self.out.watch(True)  # not subscribed yet, the call failed or the subscription broke
+        required = self.table.pairs.size / PAIRS_PER_OUTCOME if self.table.racks_per_group else 0
+        if self.new_outcomes >= max(MIN_NEW_OUTCOMES, required) or self.now - self.refreshed_us >= 4 * REFRESH_US:
+            self.update_measurements(max(1, self.now - self.refreshed_us))
             self.refresh()
-        self.look_for_silence()
-
-    def measure(self, past):
-        self.read_span += past
-        self.pause_us = max(1000 * MS, 5 * self.read_span / max(1.0, sum(m[0] for m in self.mix)))
-        self.stream_us += self.begun * past
-        self.took += (self.served * 1e6 / past - self.took) * (1 - 0.9 ** (past / REFRESH_US))
-        keep = 0.975 ** (past / REFRESH_US)
-        for kind, sums in enumerate(self.kind_took):  # remembered while all of a kind are cold
-            warm = [m.at for m in self.of_kind[kind] if not m.cold]
+        self.check_overdue_attempts()
+
+    def update_measurements(self, elapsed_us):
+        """Brings averages up to date after `elapsed_us`, and halves old measurements when it is time."""
+        self.read_span_us += elapsed_us
+        self.probe_interval_us = max(1000 * MS, 5 * self.read_span_us / max(1.0, sum(m[0] for m in self.class_mix)))
+        self.stream_time_us += self.open_streams * elapsed_us
+        self.served_per_s += (self.served * 1e6 / elapsed_us - self.served_per_s) * (1 - 0.9 ** (elapsed_us / REFRESH_US))
+        keep = 0.975 ** (elapsed_us / REFRESH_US)
+        for kind, sums in enumerate(self.kind_served):  # the last value stays while all servers of a kind are cold
+            warm = [s.row for s in self.servers_by_kind[kind] if not s.cold]
             if warm:
-                sums[:] = sums[0] * keep + self.served[warm].sum(), sums[1] * keep + len(warm) * past / 1e6
-        self.served[:], self.news, self.refreshed_us = 0, 0, self.now
-        # Halved by evidence, so that few outcomes are remembered longer than many.
-        past = self.now - self.halved_us
-        if past >= MEMORY_US[0] and self.seen >= 2 * len(self.servers) or past >= MEMORY_US[1]:
-            self.halved_us, self.seen = self.now, 0
-            self.reads, self.waits = self.reads / 2, self.waits / 2
-            self.stream_us, self.owed_us = self.stream_us * 0.7, self.owed_us * 0.7
-            self.near, self.mix = [v / 2 for v in self.near], [[v / 2 for v in sums] for sums in self.mix]
-            self.read_tokens, self.read_span = self.read_tokens / 2, self.read_span / 2
-            self.recent_reqs, self.read_well = self.recent_reqs / 2, self.read_well / 2
-            for m in self.readers:
-                m.read_us, m.read_tokens = m.read_us / 2, m.read_tokens / 2
+                sums[:] = sums[0] * keep + self.served[warm].sum(), sums[1] * keep + len(warm) * elapsed_us / 1e6
+        self.served[:], self.new_outcomes, self.refreshed_us = 0, 0, self.now
+        # Halved by the number of outcomes too, so that few outcomes are remembered for longer than many.
+        elapsed_us = self.now - self.halved_us
+        if (
+            elapsed_us >= HALVING_INTERVAL_US[0]
+            and self.outcomes_since_halving >= 2 * len(self.servers)
+            or elapsed_us >= HALVING_INTERVAL_US[1]
+        ):
+            self.halved_us, self.outcomes_since_halving = self.now, 0
+            self.read_histogram, self.wait_histogram = self.read_histogram / 2, self.wait_histogram / 2
+            self.stream_time_us, self.expected_stream_us = self.stream_time_us * 0.7, self.expected_stream_us * 0.7
+            self.same_cell_sums, self.class_mix = (
+                [v / 2 for v in self.same_cell_sums],
+                [[v / 2 for v in sums] for sums in self.class_mix],
+            )
+            self.read_tokens, self.read_span_us = self.read_tokens / 2, self.read_span_us / 2
+            self.recent_reqs, self.successful_reads = self.recent_reqs / 2, self.successful_reads / 2
+            for server in self.readers:
+                server.read_us, server.read_tokens = server.read_us / 2, server.read_tokens / 2
 
     def refresh(self):
+        """Recomputes the scores of all pairs from the present measurements and moves shares once."""
         if not self.table.pairs.size:
             return
-        n, t, l, tl, tt = self.near
-        if n > 4 and n * tt > t * t:
-            self.transfer[0] = max(0.0, min((n * tl - t * l) / (n * tt - t * t), l / t))
-        usual = sum(self.answer_us) / max(1, len(self.answer_us))
-        stream, owed = self.stream_us[self.w_at], self.owed_us[self.w_at]
-        stream = stream * (max(1, owed.sum()) / (stream.sum() or 1))
-        kinds, lean = np.array([w.kind for w in self.writers]), 2 * usual + MS
-        pace = np.ones(len(kinds))
-        for of in (kinds == kind for kind in set(kinds.tolist())):  # it leans on its kind's
-            whole = (stream[of].sum() + lean) / (owed[of].sum() + lean)
-            pace[of] = np.maximum(0.5, (stream[of] + lean * whole) / (owed[of] + lean))
-        read, reads_end = self.with_waits(self.readers, self.reads, self.r_at, False)
-        wait, waits_end = self.with_waits(self.writers, self.waits, self.w_at, True)
-        # For shedding the middle of each: lost answers are no queue, and no jam ends by shedding for them.
-        middle = MIDDLES[(wait.cumsum(axis=1) < 0.5).sum(axis=1)].tolist()
-        self.expect = dict(zip((w.id for w in self.writers), middle))
-        # The middle one: a hung server's ages must not raise what is usual.
-        self.typical_read_us, self.typical_wait_us = (np.sort(e)[(len(e) - 1) // 2] for e in (reads_end, waits_end))
-        total = sum(m[0] for m in self.mix)
-        tokens = sum(m[1] for m in self.mix) / (total or 1.0)
+        n, sum_tokens, sum_latency, sum_product, sum_squares = self.same_cell_sums
+        if n > 4 and n * sum_squares > sum_tokens * sum_tokens:
+            self.transfer_us_per_token[0] = max(
+                0.0,
+                min(
+                    (n * sum_product - sum_tokens * sum_latency) / (n * sum_squares - sum_tokens * sum_tokens),
+                    sum_latency / sum_tokens,
+                ),
+            )
+        usual_us = sum(self.answer_us) / max(1, len(self.answer_us))
+        stream, expected = self.stream_time_us[self.writer_rows], self.expected_stream_us[self.writer_rows]
+        stream = stream * (max(1, expected.sum()) / (stream.sum() or 1))
+        kinds, prior_us = np.array([w.kind for w in self.writers]), 2 * usual_us + MS
+        slowness = np.ones(len(kinds))
+        for of_kind in (kinds == kind for kind in set(kinds.tolist())):  # shrunk towards the average of the kind
+            average = (stream[of_kind].sum() + prior_us) / (expected[of_kind].sum() + prior_us)
+            slowness[of_kind] = np.maximum(0.5, (stream[of_kind] + prior_us * average) / (expected[of_kind] + prior_us))
+        read, mean_reads_us = self.latency_distributions(self.readers, self.read_histogram, self.reader_rows, False)
+        wait, mean_waits_us = self.latency_distributions(self.writers, self.wait_histogram, self.writer_rows, True)
+        # Load shedding uses each writer's median: lost answers are not a queue, and shedding for them would end no congestion.
+        medians_us = BIN_MIDDLES_US[(wait.cumsum(axis=1) < 0.5).sum(axis=1)].tolist()
+        self.median_wait_us = dict(zip((w.id for w in self.writers), medians_us))
+        # The median over the servers: the ages of attempts at a server that hangs must not raise what counts as typical.
+        self.typical_read_us, self.typical_wait_us = (np.sort(e)[(len(e) - 1) // 2] for e in (mean_reads_us, mean_waits_us))
+        requests = sum(m[0] for m in self.class_mix)
+        mean_tokens = sum(m[1] for m in self.class_mix) / (requests or 1.0)
         demands = [
-            Demand(m[0] / total, g.target_us + g.target_per_1000_us * m[1] / m[0] / 1000 - MIDDLES)
-            for m, g in zip(self.mix, self.groups)
+            Demand(m[0] / requests, c.target_us + c.target_per_1000_us * m[1] / m[0] / 1000 - BIN_MIDDLES_US)
+            for m, c in zip(self.class_mix, self.request_classes)
             if m[0] > 0
         ]
-        good = [np.array([1 - m.failure_score for m in side]) for side in (self.readers, self.writers)]
-        pace = np.minimum(1.0, 1.5 / pace)
-        self.table.refresh(read, wait, demands, pace, good, self.load(), tokens, self.hop)
-
-    def hop(self, reader, way):
-        """Time a token that a move takes: what the way takes when free and, out of the cell, times the strain
-        that this router's own moves found on the one link of the reader's cell, leaning on a free one."""
-        if way == 0:
-            return self.transfer[0]
-        took, free = self.links.get(reader.cell, (0.0, 0.0))
-        lean = 2000 * self.transfer[way] + 1
-        return self.transfer[way] * (took + lean) / (free + lean)
-
-    def with_waits(self, machines, table, at, writing):  # parts of 1, leaning on the kind's; ages count
-        bins, kinds = table[at], np.array([m.kind for m in machines])
-        whole = bins.sum(axis=0)
-        whole = whole / whole.sum() if whole.sum() else (MIDDLES == MIDDLES[0]) * 1.0
-        for of in (kinds == kind for kind in set(kinds.tolist())):
-            average = bins[of].sum(axis=0) + PRIOR * whole
-            bins[of] += PRIOR * average / average.sum()
-        ends = bins @ MIDDLES / bins.sum(axis=1)
-        for i, m in enumerate(machines):
-            if writing and m.reported_wait_us > STEPS[0] and self.now - m.wait_reported_us < 2000 * MS:
-                bins[i, bisect_left(STEPS, m.reported_wait_us)] += PRIOR
-            for sent, wr in m.waiting.values():
-                if wr == writing and self.now - sent > ends[i]:
-                    bins[i, bisect_left(STEPS, self.now - sent)] += 1
+        health = [np.array([1 - s.failure_score for s in side]) for side in (self.readers, self.writers)]
+        speed = np.minimum(1.0, 1.5 / slowness)
+        self.table.refresh(read, wait, demands, speed, health, self.load(), mean_tokens, self.move_us_per_token)
+
+    def move_us_per_token(self, reader, distance):
+        """Time per token of moving a state from this reader over a distance (see PairTable.distance): the time on an idle
+        link and, out of the cell, times the congestion that this gateway's own moves met on the link of the reader's cell,
+        shrunk towards an idle link."""
+        if distance == 0:
+            return self.transfer_us_per_token[0]
+        measured_us, idle_us = self.links.get(reader.cell, (0.0, 0.0))
+        prior_us = 2000 * self.transfer_us_per_token[distance] + 1
+        return self.transfer_us_per_token[distance] * (measured_us + prior_us) / (idle_us + prior_us)
+
+    def latency_distributions(self, servers, histogram, rows, writing):
+        """-> for each server the distribution of its latency over the bins, summing to 1, and its mean. Shrunk towards the
+        distribution of its kind; attempts that are open for longer than the mean count with their age."""
+        bins, kinds = histogram[rows], np.array([s.kind for s in servers])
+        overall = bins.sum(axis=0)
+        overall = overall / overall.sum() if overall.sum() else (BIN_MIDDLES_US == BIN_MIDDLES_US[0]) * 1.0
+        for of_kind in (kinds == kind for kind in set(kinds.tolist())):
+            average = bins[of_kind].sum(axis=0) + PRIOR_OUTCOMES * overall
+            bins[of_kind] += PRIOR_OUTCOMES * average / average.sum()
+        means_us = bins @ BIN_MIDDLES_US / bins.sum(axis=1)
+        for i, server in enumerate(servers):
+            if writing and server.reported_wait_us > BIN_EDGES_US[0] and self.now - server.wait_reported_us < 2000 * MS:
+                bins[i, bisect_left(BIN_EDGES_US, server.reported_wait_us)] += PRIOR_OUTCOMES
+            for sent_us, of_write in server.waiting.values():
+                if of_write == writing and self.now - sent_us > means_us[i]:
+                    bins[i, bisect_left(BIN_EDGES_US, self.now - sent_us)] += 1
         bins /= bins.sum(axis=1)[:, None]
-        return bins, bins @ MIDDLES
+        return bins, bins @ BIN_MIDDLES_US
 
     def load(self):
-        """What each server has to bear as shares go, from own requests and reports."""
-        own, memory = (np.array([getattr(w, of) for w in self.writers]) for of in ("stream_tokens", "memory"))
-        # A third of memory at least, so that an idle router still spreads.
+        """The load that shares put on each server, from this gateway's own requests and the servers' reports."""
+        own, memory = (np.array([getattr(w, name) for w in self.writers]) for name in ("stream_tokens", "memory_tokens"))
+        # At least a third of the memory, so that an idle gateway still spreads its requests.
         streams = max(sum(own.tolist()), sum(memory.tolist()) / 3)
-        cost = np.array([self.cost_of(r) for r in self.readers])
-        n = self.begun[self.w_at].sum() / len(self.writers)
-        known = n / (n + 1)  # a writer's own streams say something of it only where each has some
-        # What writers told of their memory, leaning on the mean of all as it grows old.
-        fresh = 0.5 ** (np.array([self.now - w.memory_reported_us for w in self.writers]) / HELD_US)
-        held = np.array([w.memory_used for w in self.writers])
-        held = fresh * held + (1 - fresh) * (fresh @ held / max(1e-9, fresh.sum()))
-        # All routers use the one link of a cell: their part of its time, from own prompts and shares.
-        flow = sum(m[1] for m in self.mix) * self.gateways / self.read_span
-        ahead = np.array([r.out_tokens for r in self.readers]) * cost / (1000 * MS)
-        work = self.read_tokens * self.gateways / self.read_span * cost
+        us_per_token = np.array([self.read_us_per_token(r) for r in self.readers])
+        n = self.open_streams[self.writer_rows].sum() / len(self.writers)
+        confidence = n / (n + 1)  # own streams say something about a writer only where each writer has some
+        # The writers' reports on their memory, shrunk towards the mean of all as they grow old.
+        freshness = 0.5 ** (np.array([self.now - w.memory_reported_us for w in self.writers]) / MEMORY_REPORT_HALF_LIFE_US)
+        used = np.array([w.memory_used for w in self.writers])
+        used = freshness * used + (1 - freshness) * (freshness @ used / max(1e-9, freshness.sum()))
+        # All gateways use the one link of a cell: the part of its time that they take, from own prompts and shares.
+        token_rate = sum(m[1] for m in self.class_mix) * self.gateways / self.read_span_us
+        queued_s = np.array([r.tokens_in_flight for r in self.readers]) * us_per_token / (1000 * MS)
+        work = self.read_tokens * self.gateways / self.read_span_us * us_per_token
         return Load(
-            ahead, work, known * own, (2 - known) * streams, 2 * memory, TOLD * held * held, flow * np.array(self.transfer)
+            queued_s,
+            work,
+            confidence * own,
+            (2 - confidence) * streams,
+            2 * memory,
+            FULL_MEMORY_PENALTY * used * used,
+            token_rate * np.array(self.transfer_us_per_token),
         )
 
-    def look_for_silence(self):
-        """What a silent server holds, or later forwards have far overtaken there, is as good as lost: reads
-        have no effect, and writes are taken back where a repeat does no harm. Guards against messages that
-        vanish anywhere, and one stuck slot; could harm where a server answers out of order by habit."""
+    def check_overdue_attempts(self):
+        """Cancels attempts whose answer is probably lost: at a server that has fallen silent, or overtaken there by attempts
+        that were sent much later. Reads have no effect and may always be cancelled, writes where a repeat does no harm.
+        Guards against messages lost anywhere, and against one stuck slot of a server. Drawback: a server that answers out of
+        order as a habit gets attempts cancelled."""
         if self.own_trouble:
-            return self.forgive_waits()
-        known = self.reads.sum() >= LATE_READS * len(self.readers)
-        suspects = sum(m.ejected and m.mode == "ready" for m in self.servers.values())
+            return self.restart_waits()
+        enough_reads = self.read_histogram.sum() >= MIN_READS_PER_READER * len(self.readers)
+        ejected = sum(s.ejected and s.mode == "ready" for s in self.servers.values())
         listed = len({*self.table.rows.index_of, *self.table.columns.index_of})
-        self.mode("trouble in common", suspects * 2 > listed, f"{suspects} suspects")
-        for m in [m for m in self.servers.values() if m.waiting]:
-            most = 2 * m.out_tokens * self.cost_of(m)
-            for (rid, number), (sent, writing) in list(m.waiting.items()):
-                req, quiet = self.reqs[rid], self.now - max(sent, m.heard_us)
-                usual, waited = self.typical_wait_us if writing else self.typical_read_us, self.now - sent
-                # One forward alone may just be slow.
-                silent = quiet > max(600 * MS, 5 * usual + most) * (1 + 2 / len(m.waiting) ** 2)
-                overtaken = sent < m.answered_us and waited >= max(400 * MS, 4 * usual)
-                _, stage, _, _, _, ahead = req.attempts[number]
-                # Far behind what it should take alone: behind others' work, or its answer was lost. Could
-                # harm where taking back stops nothing; the usual time keeps a common jam from moving all.
-                # Without enough reads to tell it, the moves of many gateways would multiply a jam.
-                again, holder = self.groups[req.group].effect == "replayable", req.holder
+        self.set_mode("trouble in common", ejected * 2 > listed, f"{ejected} suspects")
+        for server in [s for s in self.servers.values() if s.waiting]:
+            queue_us = 2 * server.tokens_in_flight * self.read_us_per_token(server)
+            for (rid, number), (sent_us, writing) in list(server.waiting.items()):
+                req, silence_us = self.reqs[rid], self.now - max(sent_us, server.last_response_us)
+                usual_us, waited_us = self.typical_wait_us if writing else self.typical_read_us, self.now - sent_us
+                # The limit is higher for few open attempts: a single one may just be slow.
+                silent = silence_us > max(600 * MS, 5 * usual_us + queue_us) * (1 + 2 / len(server.waiting) ** 2)
+                overtaken = sent_us < server.newest_answered_us and waited_us >= max(400 * MS, 4 * usual_us)
+                _, stage, _, _, _, tokens_ahead = req.attempts[number]
+                # Late: far beyond the time that it should take alone, so it is queued behind other work or its answer was lost.
+                # Drawback: where cancelling stops nothing the work is done twice. The typical time keeps general congestion
+                # from moving all attempts, and without enough own reads to recognise congestion no attempt is moved: the
+                # moves of many gateways would multiply it.
+                replayable, holder = self.request_classes[req.request_class].effect == "replayable", req.holder
                 late = (
-                    known
-                    and (stage == "read" or stage == "write" and again and m.memory_used < FULL)
-                    and (max(0.25 * (req.target - req.arrived), 3 * usual) < waited < min(req.target, req.expires) - self.now)
+                    enough_reads
+                    and (stage == "read" or stage == "write" and replayable and server.memory_used < MEMORY_FULL_FRACTION)
+                    and (
+                        max(0.25 * (req.due_us - req.arrived_us), 3 * usual_us)
+                        < waited_us
+                        < min(req.due_us, req.expires_us) - self.now
+                    )
                 )
                 if late:
-                    move = self.hop(holder, 1 + (holder.zone != m.zone)) if stage == "write" and holder else 0
-                    late = waited > 3 * (ahead * self.cost_of(m) + req.tokens * move)
-                if silent and not m.ejected:
-                    self.mark(m, 0.6, f"silent for {quiet // MS} ms, usual {usual / MS:.0f}")
-                harmless = stage == "read" or (overtaken or late) and again
+                    move_us = (
+                        self.move_us_per_token(holder, 1 + (holder.zone != server.zone)) if stage == "write" and holder else 0
+                    )
+                    late = waited_us > 3 * (tokens_ahead * self.read_us_per_token(server) + req.tokens * move_us)
+                if silent and not server.ejected:
+                    self.record_failure(server, 0.6, f"silent for {silence_us // MS} ms, usual {usual_us / MS:.0f}")
+                harmless = stage == "read" or (overtaken or late) and replayable
                 if (
                     (silent or overtaken or late)
                     and harmless
                     and not req.closed
                     and self.may_cancel
-                    and (self.spare >= 1 and len(req.attempts) < self.most_forwards - 1)
+                    and (self.retry_budget >= 1 and len(req.attempts) < self.max_attempts - 1)
                 ):
                     self.out.retract(rid, number)
 
-    def mark(self, m, by, why):
-        m.failure_score += (1 - m.failure_score) * by * max(0.2, 1 - 2.5 * self.failing)  # what all do says little of one
-        if m.failure_score > 0.5:
-            m.next_probe_us = self.now + self.pause_us
-            if not m.ejected:
-                m.ejected = True
-                self.out.log(f"suspect {m.id} on: {why}, bad {m.failure_score:.2f}")
-
-    def good(self, m):
-        m.failure_score *= 0.75
-        self.unreachable_by_zone.pop(m.zone, None)
-        if m.ejected and m.failure_score < 0.3:
-            m.ejected = False
-            self.out.log(f"suspect {m.id} off: bad {m.failure_score:.2f}")
-
-    def usable(self, m, req):
-        m.cold = m.started_us > 0 and self.now - m.started_us < self.slow_start_us
-        trial = self.now >= m.next_probe_us and not m.waiting and len(req.attempts) < 2
+    def record_failure(self, server, weight, why):
+        """Raises a server's failure score; beyond a half the server is ejected."""
+        # Where many servers fail at once a failure says little about this one.
+        server.failure_score += (1 - server.failure_score) * weight * max(0.2, 1 - 2.5 * self.failing)
+        if server.failure_score > 0.5:
+            server.next_probe_us = self.now + self.probe_interval_us
+            if not server.ejected:
+                server.ejected = True
+                self.out.log(f"suspect {server.id} on: {why}, bad {server.failure_score:.2f}")
+
+    def record_success(self, server):
+        """Lowers a server's failure score, and readmits an ejected server once it is low."""
+        server.failure_score *= 0.75
+        self.unreachable_by_zone.pop(server.zone, None)
+        if server.ejected and server.failure_score < 0.3:
+            server.ejected = False
+            self.out.log(f"suspect {server.id} off: bad {server.failure_score:.2f}")
+
+    def usable(self, server, req):
+        """Whether a request may go to this server: an ejected one takes single probes, or all where most are ejected."""
+        server.cold = server.started_us > 0 and self.now - server.started_us < self.slow_start_us
+        probe = self.now >= server.next_probe_us and not server.waiting and len(req.attempts) < 2
         return (
-            m.mode == "ready" and m.id not in req.tried and (not m.ejected or self.modes.get("trouble in common", False) or trial)
+            server.mode == "ready"
+            and server.id not in req.tried
+            and (not server.ejected or self.modes.get("trouble in common", False) or probe)
         )
 
-    def reachable(self, machines, req):
-        """The usable ones, if any is left outside zones that look cut off: where connections of two servers,
-        or this req's, did not come up and none answered since. Guards against trying a lost zone one by one;
-        could harm where single servers of a zone hang, by a pause."""
-        lost = {
+    def available(self, servers, req):
+        """The usable servers, if any remain outside zones that look unreachable: zones where the connections of two servers,
+        or of this request, did not come up and no server has answered since. Guards against trying the servers of a lost zone
+        one by one. Drawback: where single servers of a zone hang, the whole zone is left out for one probe interval."""
+        unreachable = {
             zone
-            for zone, ids in self.unreachable_by_zone.items()
-            if self.now - max(ids.values()) < self.pause_us and (len(ids) > 1 or not req.tried.isdisjoint(ids))
+            for zone, failed_at in self.unreachable_by_zone.items()
+            if self.now - max(failed_at.values()) < self.probe_interval_us
+            and (len(failed_at) > 1 or not req.tried.isdisjoint(failed_at))
         }
-        usable = [m for m in machines if self.usable(m, req) and self.may_forward(req, m)]
-        return [m for m in usable if m.zone not in lost] or usable
+        usable = [s for s in servers if self.usable(s, req) and self.may_attempt(req, s)]
+        return [s for s in usable if s.zone not in unreachable] or usable
 
-    def cold_level(self, m):
-        """What the rule lets a just-started server be sent by now, in multiples of what a warm one can do."""
-        warmed = (self.now - m.started_us) / self.slow_start_us
+    def slow_start_level(self, server):
+        """What a just-started server may be sent by now, as a multiple of what a warm one can do."""
+        warmed = (self.now - server.started_us) / self.slow_start_us
         return self.cold_multiple * (self.cold_from + (1 - self.cold_from) * warmed)
 
-    def bears(self, m, long, mean, part):
-        """Whether a prompt, `long` times the mean of `mean` tokens, takes no more than a part of what the
-        rule allows for chance. Guards against one that alone brings a server down; could harm long ones
-        where few are warm."""
-        n = self.fall_us * self.cold_level(m) / max(1.0, mean * self.cost_of(m))
-        return long <= part * (sqrt(n) + 1)
-
-    def readers_rate(self):
-        """Requests a second that this gateway's part of all prefill servers can do: the more of what warm
-        ones served and what the reads' own cost allows. No bound while nothing was served."""
-        served = sum(took / of for took, of in (self.kind_took[r.kind] for r in self.readers))
-        mean = self.mean_tokens()
-        able = sum(1e6 / max(1.0, mean * self.cost_of(r)) for r in self.readers) / self.gateways
-        return max(served, able) if served else 1e6
-
-    def turn_of(self, at, cold, shares, all_cold, key=None):
-        """The just-started server that takes this forward, or None: each by its share, an equal one at the
-        most, times the part that the rule lets it be sent. In own reqs and not in time, so that a router that
-        has just started or hears little knows its part too, all add up to it, and nothing is saved for a
-        burst; the less of the reqs is served, and the more come at once, the less. A req has one draw,
-        whatever its retries and its client's. Could harm where more is asked than ever served, and where all
-        of a role are cold after a time of little traffic."""
+    def can_take_prompt(self, server, relative_length, mean_tokens, allowance):
+        """Whether a prompt of `relative_length` times the mean stays within a part of what the overload rule allows for random
+        variation. Guards against a single prompt that overloads a cold server. Drawback: long prompts wait where few servers
+        are warm."""
+        n = self.overload_window_us * self.slow_start_level(server) / max(1.0, mean_tokens * self.read_us_per_token(server))
+        return relative_length <= allowance * (sqrt(n) + 1)
+
+    def prefill_rate(self):
+        """Requests per second that this gateway's part of all prefill servers can do: the higher of what warm servers served
+        and what the measured read cost allows. Unbounded while nothing was served."""
+        served = sum(requests / seconds for requests, seconds in (self.kind_served[r.kind] for r in self.readers))
+        mean_tokens = self.mean_prompt_tokens()
+        possible = sum(1e6 / max(1.0, mean_tokens * self.read_us_per_token(r)) for r in self.readers) / self.gateways
+        return max(served, possible) if served else 1e6
+
+    def admit_to_cold(self, draw, cold, shares, all_cold, key=None):
+        """Slow start: the just-started server that takes this attempt, or None. Each server takes the fraction of requests
+        that is its share, at most an equal one, times the part that the overload rule allows at its age.
+
+        Counted in own requests and not in time, so that a gateway that has just started or has little traffic knows its part
+        too, the parts of all gateways add up to what is allowed, and no allowance accumulates for a burst. Lowered where
+        little of the demand is served and in a burst. A request has one draw, whatever its retries and its client's.
+        Drawback: too little is admitted where demand always exceeds what is served, and where all servers of a role are
+        cold after a time of little traffic."""
         if not cold:
             return None
-        served = min(1.0, (self.read_well + self.reads_out + 1) / (self.recent_reqs + 1))
-        usual = sum(m[0] for m in self.mix) * RUSH_US / log(2) / (self.read_span + self.now - self.refreshed_us)
-        if all_cold:  # no jam shows then, and `usual` would learn the rush
-            usual = min(usual, self.readers_rate() * RUSH_US / 1e6 / log(2))
-        served *= min(1.0, (usual + 1) / max(1.0, self.rush))
+        admitted = min(1.0, (self.successful_reads + self.reads_in_flight + 1) / (self.recent_reqs + 1))
+        usual = (
+            sum(m[0] for m in self.class_mix) * BURST_HALF_LIFE_US / log(2) / (self.read_span_us + self.now - self.refreshed_us)
+        )
+        if all_cold:  # no queue is measured then, and `usual` would adapt to the burst
+            usual = min(usual, self.prefill_rate() * BURST_HALF_LIFE_US / 1e6 / log(2))
+        admitted *= min(1.0, (usual + 1) / max(1.0, self.burst))
         parts = []
-        for m, share in zip(cold, shares):
-            parts.append((m, share * served * min(1.0, self.cold_level(m) * COLD_PART)))
-        if key is not None and len(parts) > 2:  # most work there is text that it has not kept
+        for server, share in zip(cold, shares):
+            parts.append((server, share * admitted * min(1.0, self.slow_start_level(server) * SLOW_START_FRACTION)))
+        if key is not None and len(parts) > 2:  # most of a cold server's work is text that it has not cached yet
             parts.sort(key=lambda p: -log(1 - rendezvous_rank(key, p[0])) / max(p[1], 1e-9))
-            more = min(COLD_HOMES, 1 + COLD_HOT / max(0.01, self.heat_of(key)))
-            homes, whole = ceil(len(parts) / more), sum(part for _, part in parts)
-            parts = [(m, min(whole / homes, more * part)) for m, part in parts[:homes]]
-        ends = accumulate(part for _, part in parts)
-        return next((m for (m, _), end in zip(parts, ends) if at < end), None)
-
-    def on_req(self, rid, tokens, expires, session, prefix, prefix_tokens, _out, _hint, bits, tenant, group):
-        g = self.groups[group]
-        target = self.now + g.target_us + g.target_per_1000_us * tokens // 1000
-        req = self.reqs[rid] = RequestState(rid, group, tenant or 0, tokens, self.now, expires, target)
+            factor = min(COLD_AFFINITY_FACTOR, 1 + COLD_POPULAR_INCREASE / max(0.01, self.popularity_of(key)))
+            targets, total = ceil(len(parts) / factor), sum(part for _, part in parts)
+            parts = [(server, min(total / targets, factor * part)) for server, part in parts[:targets]]
+        bounds = accumulate(part for _, part in parts)
+        return next((server for (server, _), bound in zip(parts, bounds) if draw < bound), None)
+
+    def on_req(self, rid, tokens, expires_us, session, prefix, prefix_tokens, _max_out, _hint, bits, tenant, request_class):
+        c = self.request_classes[request_class]
+        due_us = self.now + c.target_us + c.target_per_1000_us * tokens // 1000
+        req = self.reqs[rid] = RequestState(rid, request_class, tenant or 0, tokens, self.now, expires_us, due_us)
         req.session, req.prefix, req.prefix_tokens = session, prefix, prefix_tokens or 0
-        req.repeat = bool(bits & REPEAT)
-        fade = 0.5 ** ((self.now - self.rush_us) / RUSH_US)
-        self.rush, self.rush_us = self.rush * fade + (not req.repeat), self.now
-        self.mix[group] = [self.mix[group][0] + 1, self.mix[group][1] + tokens]
-        self.spare, self.recent_reqs = min(10.0, self.spare + 0.6), self.recent_reqs + 1
+        req.client_retry = bool(bits & RETRY_BITS)
+        decay = 0.5 ** ((self.now - self.burst_updated_us) / BURST_HALF_LIFE_US)
+        self.burst, self.burst_updated_us = self.burst * decay + (not req.client_retry), self.now
+        self.class_mix[request_class] = [self.class_mix[request_class][0] + 1, self.class_mix[request_class][1] + tokens]
+        self.retry_budget, self.recent_reqs = min(10.0, self.retry_budget + 0.6), self.recent_reqs + 1
         if prefix is not None:
-            self.heat[prefix] = self.heat.get(prefix, 0) + 1
-            if sum(self.heat.values()) > 80:
-                self.heat = {key: n / 2 for key, n in self.heat.items() if n > 0.5}
+            self.popularity[prefix] = self.popularity.get(prefix, 0) + 1
+            if sum(self.popularity.values()) > 80:
+                self.popularity = {key: n / 2 for key, n in self.popularity.items() if n > 0.5}
         req.over_quota = req.tenant < len(self.quota) and self.remaining_quota(req.tenant) < 0
         self.read(req)
 
-    def remaining_quota(self, tenant):  # its quota, as of the last refresh
+    def remaining_quota(self, tenant):
+        """What is left of a tenant's quota, as of the last refresh."""
         quota = self.quota[tenant]
-        left, at = self.quota_left.get(tenant, (2 * quota, self.began_us))
-        return min(2 * quota + 4, left + quota * max(0, self.refreshed_us - at) / 1e6)
+        left, counted_us = self.quota_left.get(tenant, (2 * quota, self.began_us))
+        return min(2 * quota + 4, left + quota * max(0, self.refreshed_us - counted_us) / 1e6)
 
     def read(self, req):
-        if len(req.attempts) >= self.most_forwards - 1 or self.now + self.margin_us >= req.expires:
+        """Sends the request to a prefill server, or rejects it where its TTFT target can't be met."""
+        if len(req.attempts) >= self.max_attempts - 1 or self.now + self.margin_us >= req.expires_us:
             return self.give_up(req)
-        # One draw for both roles, so that their parts coincide.
-        at = self.chance() if self.now < self.cold_until and not req.attempts and not req.repeat else 1.0
-        reader, ready_us = self.choose_reader(req, at)
+        # One draw for both roles, so that a request admitted to a cold reader also has a cold writer.
+        draw = self.random() if self.now < self.cold_until and not req.attempts and not req.client_retry else 1.0
+        reader, ready_us = self.choose_reader(req, draw)
         writers = [w for w in self.writers if self.usable(w, req)]
-        if reader and not reader.writes and all(w.cold for w in writers):  # no read that no writer takes
-            req.turn = self.turn_of(at, writers, [1 / len(self.writers) for _ in writers], True)
-            reader = reader if req.turn else None
+        if reader and not reader.writes and all(w.cold for w in writers):  # no read without a writer that takes its state
+            req.cold_writer = self.admit_to_cold(draw, writers, [1 / len(self.writers) for _ in writers], True)
+            reader = reader if req.cold_writer else None
         if reader is None:
             self.recent_reqs = max(0.0, self.recent_reqs - 1)
             return self.give_up(req)
-        # Its client may leave before the target: what takes longer is work for nobody.
-        patience = req.expires - self.now - self.margin_us
-        allowed = min((req.target - self.now) * (0.5 if req.over_quota else 0.8), patience)
-        # Never shed with less than this router's part waiting: else what a jam taught is never learnt again.
-        waits = [self.expect.get(w.id, 0.0) for w in writers if not reader.writes] or [0.0]
-        unbegun, began = max(0, sum(len(w.waiting) for w in writers) - 1), self.took[self.w_at].sum()
-        wait = min(1.5 * sum(waits) / len(waits), unbegun / max(0.5, began) * 1e6)
-        # A rush shows before any wait is heard; could harm a router with far more than its part.
-        full = not reader.writes and all(w.stream_tokens > w.memory and w.waiting for w in writers)
-        mine = max(self.reads_out, self.chance() / 4) * self.gateways > len(self.readers)
-        late = full or ready_us + wait > allowed and (reader.out_tokens > 0 or mine or wait > allowed / 2)
-        # Clients that leave before the target and come again at once fill all readers; could harm a share
-        # that is sent to few gateways only.
-        late = late or req.over_quota and req.expires < req.target and not req.attempts
-        self.mode("shedding", late, "read %d ms, wait %d of %d" % (ready_us / MS, wait / MS, allowed / MS))
-        if late and self.may_push_back(req):
-            return self.give_up(req, int(ready_us + wait - allowed / 2))
+        # Its client may leave before the target: work that takes longer would be wasted.
+        patience_us = req.expires_us - self.now - self.margin_us
+        allowed_us = min((req.due_us - self.now) * (0.5 if req.over_quota else 0.8), patience_us)
+        # Never shed while less than this gateway's part waits: else estimates made under congestion would never be corrected.
+        waits_us = [self.median_wait_us.get(w.id, 0.0) for w in writers if not reader.writes] or [0.0]
+        queued, served_per_s = max(0, sum(len(w.waiting) for w in writers) - 1), self.served_per_s[self.writer_rows].sum()
+        wait_us = min(1.5 * sum(waits_us) / len(waits_us), queued / max(0.5, served_per_s) * 1e6)
+        # Full memory shows a burst before any wait is measured. Drawback: a gateway with far more than its part of the traffic
+        # sheds too early.
+        full = not reader.writes and all(w.stream_tokens > w.memory_tokens and w.waiting for w in writers)
+        has_part = max(self.reads_in_flight, self.random() / 4) * self.gateways > len(self.readers)
+        late = full or ready_us + wait_us > allowed_us and (reader.tokens_in_flight > 0 or has_part or wait_us > allowed_us / 2)
+        # Clients that leave before the target and come back at once would fill all readers. Drawback: a tenant whose traffic
+        # goes to few gateways only gets less than its quota.
+        late = late or req.over_quota and req.expires_us < req.due_us and not req.attempts
+        self.set_mode("shedding", late, "read %d ms, wait %d of %d" % (ready_us / MS, wait_us / MS, allowed_us / MS))
+        if late and self.may_reject(req):
+            return self.give_up(req, int(ready_us + wait_us - allowed_us / 2))
         if req.tenant < len(self.quota) and not req.attempts:
             left = max(-self.quota[req.tenant] - 2, self.remaining_quota(req.tenant) - 1)
             self.quota_left[req.tenant] = left, self.refreshed_us
-        kept, req.fresh = reader.cached_prefixes, max(1, req.tokens - self.known(req, reader))
-        if len(kept) > 2000:
-            kept.clear()
-        kept.update({req.prefix: req.prefix_tokens, req.session: req.tokens})
-        kept.pop(None, None)
-        self.read_tokens += req.fresh
+        cached, req.uncached_tokens = reader.cached_prefixes, max(1, req.tokens - self.cached_tokens(req, reader))
+        if len(cached) > 2000:
+            cached.clear()
+        cached.update({req.prefix: req.prefix_tokens, req.session: req.tokens})
+        cached.pop(None, None)
+        self.read_tokens += req.uncached_tokens
         self.send(req, reader, "direct" if reader.writes else "read")
 
-    def known(self, req, reader):  # prompt tokens that it should still have kept, as far as this router knows
+    def cached_tokens(self, req, reader):
+        """Prompt tokens that the reader should still have cached, as far as this gateway knows."""
         return max(reader.cached_prefixes.get(req.session, 0), req.prefix_tokens if req.prefix in reader.cached_prefixes else 0)
 
-    def cold_reader(self, req, at, cold, all_cold, key):
-        """The cold reader whose turn it is, or None. What counts there is work: a long prompt's turns are as
-        much rarer as it is longer than the mean. The first request of a process has none: nothing tells how long
-        it is. Could harm where all are cold and no second request comes, by the wait that its client is told."""
-        mean = self.mean_besides(req.tokens, LEAST_SEEN)
-        if not mean:
+    def admit_to_cold_reader(self, req, draw, cold, all_cold, key):
+        """The cold reader that takes this request, or None. Reads are admitted by work: a prompt is admitted as much less
+        often as it is longer than the mean. The first request of a process is never admitted, since nothing defines a mean.
+        Drawback: where all readers are cold and no second request comes, its client waits for its retry-after time."""
+        mean_tokens = self.mean_prompt_excluding(req.tokens, MIN_OTHER_REQUESTS)
+        if not mean_tokens:
             return None
-        long = req.tokens / mean
-        bearing = [r for r in cold if self.bears(r, long, mean, COLD_LONG if all_cold else 1.0)]
-        parts = [min(self.table.share[r.id], 1 / len(self.readers)) for r in bearing]
-        return self.turn_of(at * max(1.0, long), bearing, parts, all_cold, key)
-
-    def choose_reader(self, req, at):
-        """The reader, and in what time its read should end. The effects rule binds new reads too."""
-        usable = self.reachable(self.readers, req)
+        relative_length = req.tokens / mean_tokens
+        able = [
+            r for r in cold if self.can_take_prompt(r, relative_length, mean_tokens, COLD_PROMPT_ALLOWANCE if all_cold else 1.0)
+        ]
+        shares = [min(self.table.share[r.id], 1 / len(self.readers)) for r in able]
+        return self.admit_to_cold(draw * max(1.0, relative_length), able, shares, all_cold, key)
+
+    def choose_reader(self, req, draw):
+        """-> the reader, or None, and the time in which its read should end. Rules on repeated effects bind new reads too."""
+        usable = self.available(self.readers, req)
         cold, usable = [r for r in usable if r.cold], [r for r in usable if not r.cold]
         key = req.prefix if req.prefix is not None else req.session
-        turn = self.cold_reader(req, at, cold, not usable, key) if cold else None
-        if turn or not usable:
-            return turn, 0
-        shares, trial = self.table.share, 0.3 / len(usable)  # a suspect is here for a trial only
-        drawn = self.chance.draw([(r, shares[r.id] + trial * r.ejected) for r in usable])
-        ends = {}
-        for r in usable:
-            ahead = r.out_tokens + req.tokens - self.known(req, r) * r.trust
-            oldest = next(iter(r.waiting.values()), (self.now,))[0]
-            ends[r.id] = max(ahead * self.cost_of(r), self.now - oldest)
+        admitted = self.admit_to_cold_reader(req, draw, cold, not usable, key) if cold else None
+        if admitted or not usable:
+            return admitted, 0
+        shares, probe_share = self.table.share, 0.3 / len(usable)  # an ejected server is usable only for a probe
+        drawn = self.random.draw([(r, shares[r.id] + probe_share * r.ejected) for r in usable])
+        ready_us = {}
+        for reader in usable:
+            tokens = reader.tokens_in_flight + req.tokens - self.cached_tokens(req, reader) * reader.cache_accuracy
+            oldest_us = next(iter(reader.waiting.values()), (self.now,))[0]
+            ready_us[reader.id] = max(tokens * self.read_us_per_token(reader), self.now - oldest_us)
         if drawn.ejected:
-            return drawn, ends[drawn.id]
-        allowed = max(0.25 * (req.target - req.arrived), min(ends.values()) * 1.1)
-        fit = [r for r in usable if ends[r.id] <= allowed and not r.ejected]
+            return drawn, ready_us[drawn.id]
+        allowed_us = max(0.25 * (req.due_us - req.arrived_us), min(ready_us.values()) * 1.1)
+        fit = [r for r in usable if ready_us[r.id] <= allowed_us and not r.ejected]
         share = shares[drawn.id]  # the best or near it; mixed servers have shares of their own
-        near = [r for r in usable if NEAR * share <= shares[r.id] <= share / NEAR and not r.ejected]
-        home = max(fit, key=lambda r: r.cached_prefixes.get(req.session, 0), default=drawn)
-        if req.session in home.cached_prefixes and home in fit:
-            drawn = home
+        near = [r for r in usable if NEAR_BEST_FRACTION * share <= shares[r.id] <= share / NEAR_BEST_FRACTION and not r.ejected]
+        previous = max(fit, key=lambda r: r.cached_prefixes.get(req.session, 0), default=drawn)
+        if req.session in previous.cached_prefixes and previous in fit:
+            drawn = previous  # has cached this conversation
         elif near and key is not None:
-            # A prefix has two homes, a hot one so many that it takes half of none; its sessions spread over
-            # them by a hash that every gateway shares. What fits at none goes on to as many more, the same
-            # for all gateways, so that a jam does not scatter texts.
-            # Ranks follow the shares the more, the less this router's own reads tell of each reader.
-            by = max(0.0, 1 - self.reads.sum() / (4 * len(self.readers)))
-            homes = max(1, min(2, len(near) // 3), ceil(2 * len(near) * self.heat_of(key)))
-            near.sort(key=lambda r: -log(1 - rendezvous_rank(key, r)) / shares[r.id] ** by)
-            ranked = sorted(near[:homes], key=lambda r: rendezvous_rank(req.session, r)) + near[homes : 2 * homes]
+            # Affinity by rendezvous hashing: a prefix has two target readers, a popular one so many that it takes at most half
+            # of each; its conversations are spread over them by a hash that all gateways share. What fits at no target goes on
+            # to as many further readers, the same ones for all gateways, so that congestion does not scatter prefixes.
+            # Ranks are weighted by share, the more the less this gateway's own reads say about each reader.
+            exponent = max(0.0, 1 - self.read_histogram.sum() / (4 * len(self.readers)))
+            targets = max(1, min(2, len(near) // 3), ceil(2 * len(near) * self.popularity_of(key)))
+            near.sort(key=lambda r: -log(1 - rendezvous_rank(key, r)) / shares[r.id] ** exponent)
+            ranked = sorted(near[:targets], key=lambda r: rendezvous_rank(req.session, r)) + near[targets : 2 * targets]
             drawn = next((r for r in ranked if r in fit), None) or ranked[0]
         elif drawn not in fit or key is None:
-            drawn = min(near or usable, key=lambda r: ends[r.id])
-        return drawn, ends[drawn.id]
+            drawn = min(near or usable, key=lambda r: ready_us[r.id])
+        return drawn, ready_us[drawn.id]
 
-    def heat_of(self, key):  # its part of the reqs, leaning on the chance that two share their prefix
-        n, start = sum(self.heat.values()), 0.25 / max(1, len(self.readers))
-        alike = (sum(h * max(0, h - 1) for h in self.heat.values()) + 50 * start) / (n * (n - 1) + 50)
-        return (max(0, self.heat.get(key, 0) - 1) + 10 * alike) / (n + 10)
+    def popularity_of(self, key):
+        """A prefix's part of the recent requests, shrunk towards the probability that two requests share their prefix."""
+        n, prior = sum(self.popularity.values()), 0.25 / max(1, len(self.readers))
+        same = (sum(h * max(0, h - 1) for h in self.popularity.values()) + 50 * prior) / (n * (n - 1) + 50)
+        return (max(0, self.popularity.get(key, 0) - 1) + 10 * same) / (n + 10)
 
-    def cost_of(self, r):
-        """Read time a token there, leaning on its kind's while little is heard of it."""
-        us, tokens = self.kind_cost[r.kind]
-        kind = us / tokens if tokens else self.start_cost
-        return (r.read_us + 1000 * kind) / (r.read_tokens + 1000)
+    def read_us_per_token(self, server):
+        """Measured read time per prompt token, shrunk towards that of the server's kind while there are few measurements."""
+        us, tokens = self.kind_read_cost[server.kind]
+        prior = us / tokens if tokens else self.initial_us_per_token
+        return (server.read_us + 1000 * prior) / (server.read_tokens + 1000)
 
     def write(self, req):
-        writer = self.choose_writer(req) if len(req.attempts) < self.most_forwards else None
+        """Sends the request, whose state a reader holds, to a decode server."""
+        writer = self.choose_writer(req) if len(req.attempts) < self.max_attempts else None
         self.send(req, writer, "write") if writer else self.give_up(req)
 
     def choose_writer(self, req):
-        usable = self.reachable(self.writers, req)
+        usable = self.available(self.writers, req)
         if not usable:
             return None
         shares, column = self.table.shares_from(req.holder), self.table.columns.index_of
         cold, usable = [w for w in usable if w.cold], [w for w in usable if not w.cold]
-        if req.turn in cold:
-            return req.turn
-        if cold:  # never more than an equal share of all, however near it is to some readers
-            most = 1 / len(self.writers) / np.maximum(self.table.writer_shares(), 1e-9)
-            turns = shares / (shares.sum() or 1.0) * np.minimum(1.0, most)
-            at = 1.0 if any(stage == "write" for _, stage, *_ in req.attempts) else self.chance()
-            turn = self.turn_of(at, cold, [turns[column[w.id]] for w in cold], not usable)
-            if turn or not usable:
-                return turn
-        row = [(w, shares[column[w.id]] or 1e-6) for w in usable]
-        drawn, best = self.chance.draw(row), max(v for _, v in row)
-        near = {w: v for w, v in row if v >= NEAR * best and not w.ejected}
-        least = min((w.stream_tokens / w.memory for w in near), default=0)  # nothing at many: draw by share
-        least = [(w, v) for w, v in near.items() if w.stream_tokens / w.memory == least]
-        return self.chance.draw(least) if drawn in near else drawn
-
-    def may_forward(self, req, machine):
-        """Effects: whether a repeat at this server can do no harm."""
-        g = self.groups[req.group]
-        alike = {"zone": lambda m: m.zone, "cell": lambda m: m.cell}.get(g.repeat_scope, lambda m: 0)
+        if req.cold_writer in cold:
+            return req.cold_writer
+        if cold:  # no more than an equal share of all requests, even where it is near to some readers
+            limit = 1 / len(self.writers) / np.maximum(self.table.writer_shares(), 1e-9)
+            cold_shares = shares / (shares.sum() or 1.0) * np.minimum(1.0, limit)
+            draw = 1.0 if any(stage == "write" for _, stage, *_ in req.attempts) else self.random()
+            admitted = self.admit_to_cold(draw, cold, [cold_shares[column[w.id]] for w in cold], not usable)
+            if admitted or not usable:
+                return admitted
+        weighted = [(w, shares[column[w.id]] or 1e-6) for w in usable]
+        drawn, best = self.random.draw(weighted), max(share for _, share in weighted)
+        near = {w: share for w, share in weighted if share >= NEAR_BEST_FRACTION * best and not w.ejected}
+        # Among nearly equal writers the least loaded one; where several have no stream, a draw by share.
+        least_used = min((w.stream_tokens / w.memory_tokens for w in near), default=0)
+        least_used = [(w, share) for w, share in near.items() if w.stream_tokens / w.memory_tokens == least_used]
+        return self.random.draw(least_used) if drawn in near else drawn
+
+    def may_attempt(self, req, server):
+        """Whether an attempt at this server can't repeat an effect: replayable, never run yet, or dropped as a repeat."""
+        c = self.request_classes[req.request_class]
+        domain = {"zone": lambda s: s.zone, "cell": lambda s: s.cell}.get(c.repeat_scope, lambda s: 0)
         return (
-            g.effect == "replayable"
-            or not req.ran
-            or g.effect == "keyed"
-            and all(self.window_left(g, sent) >= 0 and alike(first) == alike(machine) for first, sent in req.ran)
+            c.effect == "replayable"
+            or not req.may_have_run
+            or c.effect == "keyed"
+            and all(
+                self.repeat_time_left(c, sent_us) >= 0 and domain(first) == domain(server) for first, sent_us in req.may_have_run
+            )
         )
 
-    def window_left(self, group, sent_us):
-        """Time in which a repeat of an attempt sent then may still begin."""
-        return sent_us + group.repeat_window_us - WINDOW_CLEAR_US - self.now
-
-    def up_within(self, req):
-        """In what time an attempt's connection has to be up: for a state that is held, and for a repeat's window."""
-        g, left = self.groups[req.group], req.up_by - self.now
-        if g.effect == "keyed":
-            left = min([left] + [self.window_left(g, sent) for _, sent in req.ran])
-        return max(LEAST_UP_US, left)
-
-    def may_push_back(self, req):
-        g = self.groups[req.group]
-        return g.effect == "replayable" or not req.ran or (g.effect == "keyed" and g.repeat_scope == "all")
-
-    def send(self, req, machine, stage):
-        number, ahead = len(req.attempts), machine.out_tokens + req.fresh if stage != "write" else 0
-        req.attempts.append([machine, stage, self.now, True, req.fresh, ahead])
-        req.out += 1
-        up_us = self.up_within(req)
+    def repeat_time_left(self, request_class, sent_us):
+        """Time in which the repeat of an attempt sent at `sent_us` may still be sent."""
+        return sent_us + request_class.repeat_window_us - REPEAT_WINDOW_MARGIN_US - self.now
+
+    def connect_time_left(self, req):
+        """Time in which an attempt's connection has to be up, for the release of a held state and for a repeat's window."""
+        c, left_us = self.request_classes[req.request_class], req.connect_by_us - self.now
+        if c.effect == "keyed":
+            left_us = min([left_us] + [self.repeat_time_left(c, sent_us) for _, sent_us in req.may_have_run])
+        return max(MIN_CONNECT_US, left_us)
+
+    def may_reject(self, req):
+        """Whether the client may be told to retry: no attempt has run, or a repeat anywhere is harmless."""
+        c = self.request_classes[req.request_class]
+        return c.effect == "replayable" or not req.may_have_run or (c.effect == "keyed" and c.repeat_scope == "all")
+
+    def send(self, req, server, stage):
+        """Sends one attempt and adds it to the request's attempts and to the server's load."""
+        number, tokens_ahead = len(req.attempts), server.tokens_in_flight + req.uncached_tokens if stage != "write" else 0
+        req.attempts.append([server, stage, self.now, True, req.uncached_tokens, tokens_ahead])
+        req.open_attempts += 1
+        connect_us = self.connect_time_left(req)
         if stage != "read":
-            req.ran.append((machine, self.now))
-            machine.stream_tokens += req.tokens
+            req.may_have_run.append((server, self.now))
+            server.stream_tokens += req.tokens
         if stage != "write":
-            machine.out_tokens, self.reads_out = machine.out_tokens + req.fresh, self.reads_out + 1
-        machine.waiting[req.id, number] = (self.now, stage == "write")
-        if machine.ejected:
-            machine.next_probe_us = self.now + self.pause_us
-        self.out.forward(req.id, machine.id, max(MS, req.expires - self.now - self.margin_us), up_us)
+            server.tokens_in_flight, self.reads_in_flight = (
+                server.tokens_in_flight + req.uncached_tokens,
+                self.reads_in_flight + 1,
+            )
+        server.waiting[req.id, number] = (self.now, stage == "write")
+        if server.ejected:
+            server.next_probe_us = self.now + self.probe_interval_us
+        self.out.forward(req.id, server.id, max(MS, req.expires_us - self.now - self.margin_us), connect_us)
         if stage == "write" and req.holder is not None:
-            self.watch_claim(req, number)
-
-    def watch_claim(self, req, number):
-        """Has a state looked after that an attempt at a decode server is to fetch."""
-        self.claims += 1
-        self.unclaimed[self.claims] = req.id, number
-        self.out.timer(max(MS, req.held_us + self.unclaimed_us - self.now), self.claims)
-
-    def look_at_claim(self, token):
-        """Guards against an attempt that never arrived, on a connection that has fallen silent: it is not out, and the
-        state's time runs on. A release drops only what no attempt waits for, so it does no harm to one that has arrived;
-        could harm by its message, and by a new prefill where the attempt arrives just behind it."""
-        rid, number = self.unclaimed.pop(token, (None, None))
+            self.schedule_claim_check(req, number)
+
+    def schedule_claim_check(self, req, number):
+        """Sets a timer for a held state that a write attempt is to fetch."""
+        self.last_claim += 1
+        self.pending_claims[self.last_claim] = req.id, number
+        self.out.timer(max(MS, req.held_us + self.claim_us - self.now), self.last_claim)
+
+    def check_claim(self, token):
+        """Releases a state that no decode server has answered for by the end of its time. Guards against an attempt that never
+        arrived, on a connection that fell silent: then no server will fetch the state. The release drops a state only where
+        no attempt waits for it, so it does no harm to an attempt that has arrived. Drawback: one more message, and a second
+        prefill where the attempt arrives just after the release."""
+        rid, number = self.pending_claims.pop(token, (None, None))
         req = self.reqs.get(rid)
-        if req is not None and not req.closed and req.begun is None and req.attempts[number][3]:
+        if req is not None and not req.closed and req.begun_attempt is None and req.attempts[number][3]:
             self.out.release_unclaimed(rid)
 
-    def give_up(self, req, come_back_us=1 << 40):
-        """The final answer at once, and whatever is held let go."""
+    def give_up(self, req, retry_after_us=1 << 40):
+        """Answers the client finally, with a rejection where it may retry, and releases what is held."""
         req.closed = True
-        if self.may_push_back(req):
-            self.out.push_back(req.id, min(max(100 * MS, come_back_us), self.come_back_us))
+        if self.may_reject(req):
+            self.out.push_back(req.id, min(max(100 * MS, retry_after_us), self.max_retry_after_us))
         else:
             self.out.abort(req.id)
         self.clean_up(req)
 
-    def on_first(self, rid, server, latency, number):
+    def on_first(self, rid, server_id, latency_us, number):
         req = self.reqs.get(rid)
         if req is None or number >= len(req.attempts):
             return
-        machine, stage, sent, _, fresh, ahead = req.attempts[number]
-        machine.waiting.pop((rid, number), None)
-        machine.heard_us, machine.answered_us = self.now, max(machine.answered_us, sent)
-        self.served[machine.at] += 1
-        self.begun[machine.at] += 1
-        self.news, self.seen = self.news + 1, self.seen + 1
-        req.begun, req.begun_us = number, self.now
-        self.good(machine)
+        server, stage, sent_us, _, uncached_tokens, tokens_ahead = req.attempts[number]
+        server.waiting.pop((rid, number), None)
+        server.last_response_us, server.newest_answered_us = self.now, max(server.newest_answered_us, sent_us)
+        self.served[server.row] += 1
+        self.open_streams[server.row] += 1
+        self.new_outcomes, self.outcomes_since_halving = self.new_outcomes + 1, self.outcomes_since_halving + 1
+        req.begun_attempt, req.begun_us = number, self.now
+        self.record_success(server)
         if stage == "write" and req.holder is not None:
             holder = req.holder
-            way = 0 if holder.cell == machine.cell else 1 + (holder.zone != machine.zone)
-            if way == 0:
-                seen = (1, req.tokens, latency, req.tokens * latency, req.tokens * req.tokens)
-                self.near = [a + b for a, b in zip(self.near, seen)]
-            elif req.tokens > 500:  # free: about the least seen; a crowded link takes much more
-                least = self.transfer[way] * 1.02 or latency / req.tokens
-                self.transfer[way] = min(least, latency / req.tokens)
-            wait = latency - req.tokens * self.hop(holder, way)
-            self.waits[machine.at, bisect_left(STEPS, wait)] += 1
-            if way:
-                took, free = self.links.get(holder.cell, (0.0, 0.0))
-                self.links[holder.cell] = took * 0.85 + latency, free * 0.85 + req.tokens * self.transfer[way]
+            distance = 0 if holder.cell == server.cell else 1 + (holder.zone != server.zone)
+            if distance == 0:
+                sample = (1, req.tokens, latency_us, req.tokens * latency_us, req.tokens * req.tokens)
+                self.same_cell_sums = [a + b for a, b in zip(self.same_cell_sums, sample)]
+            elif req.tokens > 500:  # the time on an idle link is about the least seen: a congested link takes much longer
+                idle_us = self.transfer_us_per_token[distance] * 1.02 or latency_us / req.tokens
+                self.transfer_us_per_token[distance] = min(idle_us, latency_us / req.tokens)
+            wait_us = latency_us - req.tokens * self.move_us_per_token(holder, distance)
+            self.wait_histogram[server.row, bisect_left(BIN_EDGES_US, wait_us)] += 1
+            if distance:
+                measured_us, idle_us = self.links.get(holder.cell, (0.0, 0.0))
+                self.links[holder.cell] = (
+                    measured_us * 0.85 + latency_us,
+                    idle_us * 0.85 + req.tokens * self.transfer_us_per_token[distance],
+                )
         elif stage == "direct":
-            self.read_well += 1
-            self.learn_read(machine, latency, ahead)
-            machine.out_tokens, self.reads_out = machine.out_tokens - fresh, self.reads_out - 1
+            self.successful_reads += 1
+            self.record_read(server, latency_us, tokens_ahead)
+            server.tokens_in_flight, self.reads_in_flight = server.tokens_in_flight - uncached_tokens, self.reads_in_flight - 1
             req.attempts[number][4] = 0
         req.holder = None
 
-    def learn_read(self, machine, latency, ahead, of_kind=True):
-        self.reads[machine.at, bisect_left(STEPS, latency)] += 1
-        machine.read_us = machine.read_us * 0.85 + latency
-        machine.read_tokens = machine.read_tokens * 0.85 + max(200, ahead)
-        if of_kind:
-            sums = self.kind_cost[machine.kind]
-            sums[:] = sums[0] * 0.75 + latency, sums[1] * 0.75 + max(200, ahead)
-
-    def on_outcome(self, rid, number, server, code, latency, ended, remark, report):
-        machine = self.servers.get(server)
-        if machine is not None and report and report.get("held") is not None:
-            machine.memory_used, machine.memory_reported_us = report["held"], self.now
-        if machine is not None and report and report.get("queue") is not None:
-            took, of = self.kind_took[machine.kind]  # at its kind's rate of serving all routers
-            machine.reported_wait_us = report["queue"] * 1e6 / max(1.0, took / of * self.gateways)
-            machine.wait_reported_us = self.now
+    def record_read(self, server, latency_us, tokens, for_kind=True):
+        """Adds a read of `tokens`, those queued ahead of it included, to the measurements of its server and kind."""
+        self.read_histogram[server.row, bisect_left(BIN_EDGES_US, latency_us)] += 1
+        server.read_us = server.read_us * 0.85 + latency_us
+        server.read_tokens = server.read_tokens * 0.85 + max(200, tokens)
+        if for_kind:
+            sums = self.kind_read_cost[server.kind]
+            sums[:] = sums[0] * 0.75 + latency_us, sums[1] * 0.75 + max(200, tokens)
+
+    def on_outcome(self, rid, number, server_id, code, latency_us, ended, remark, report):
+        server = self.servers.get(server_id)
+        if server is not None and report and report.get("held") is not None:
+            server.memory_used, server.memory_reported_us = report["held"], self.now
+        if server is not None and report and report.get("queue") is not None:
+            requests, seconds = self.kind_served[server.kind]  # the queue is served at the rate of all gateways' requests
+            server.reported_wait_us = report["queue"] * 1e6 / max(1.0, requests / seconds * self.gateways)
+            server.wait_reported_us = self.now
         req = self.reqs.get(rid)
-        forward = req.attempts[number] if req is not None and number < len(req.attempts) else [None] * 4
-        if not forward[3]:
-            return  # late, twice, or of a req that was never here
-        machine, stage, sent, _, fresh, ahead = forward
-        forward[3], req.out = False, req.out - 1
-        machine.waiting.pop((rid, number), None)
+        attempt = req.attempts[number] if req is not None and number < len(req.attempts) else [None] * 4
+        if not attempt[3]:
+            return  # late, a duplicate, or of a request that this router does not know
+        server, stage, sent_us, _, uncached_tokens, tokens_ahead = attempt
+        attempt[3], req.open_attempts = False, req.open_attempts - 1
+        server.waiting.pop((rid, number), None)
         if stage != "read":
-            machine.stream_tokens -= req.tokens
+            server.stream_tokens -= req.tokens
             if code in NEVER_RAN:
-                req.ran = [r for r in req.ran if r != (machine, sent)]
+                req.may_have_run = [r for r in req.may_have_run if r != (server, sent_us)]
         if stage != "write":
-            machine.out_tokens -= forward[4]
-            self.reads_out -= forward[4] > 0
+            server.tokens_in_flight -= attempt[4]
+            self.reads_in_flight -= attempt[4] > 0
             if code == "read":
-                if req.tokens - fresh > 100:
-                    machine.trust += (min(1.0, (remark or 0) / (req.tokens - fresh)) - machine.trust) * 0.3
-                if (remark or 0) < (req.tokens - fresh) / 2:
-                    machine.cached_prefixes.pop(req.session, None)
+                if req.tokens - uncached_tokens > 100:
+                    server.cache_accuracy += (
+                        min(1.0, (remark or 0) / (req.tokens - uncached_tokens)) - server.cache_accuracy
+                    ) * 0.3
+                if (remark or 0) < (req.tokens - uncached_tokens) / 2:
+                    server.cached_prefixes.pop(req.session, None)
                     if (remark or 0) < req.prefix_tokens / 2:
-                        machine.cached_prefixes.pop(req.prefix, None)
-                    ahead += req.tokens - (remark or 0) - fresh
-                self.read_well += 1
-                self.learn_read(machine, latency, ahead)
-        if code not in NEVER_OUT and (stage == "read" and code != "full" or req.up_by < req.expires):  # it was out, and may hold
-            req.up_by = min(req.expires, self.now + self.up_us)
+                        server.cached_prefixes.pop(req.prefix, None)
+                    tokens_ahead += req.tokens - (remark or 0) - uncached_tokens
+                self.successful_reads += 1
+                self.record_read(server, latency_us, tokens_ahead)
+        # The attempt was sent, so it may hold a state that has to be released in time.
+        if code not in NEVER_SENT and (stage == "read" and code != "full" or req.connect_by_us < req.expires_us):
+            req.connect_by_us = min(req.expires_us, self.now + self.connect_us)
         if code not in ("timed_out", "cancelled", "no_way", "moot"):
-            machine.heard_us = self.now
-            machine.answered_us = max(machine.answered_us, sent if code == "read" else 0)
-        self.served[machine.at] += code == "read"
-        self.news, self.seen = self.news + 1, self.seen + 1
+            server.last_response_us = self.now
+            server.newest_answered_us = max(server.newest_answered_us, sent_us if code == "read" else 0)
+        self.served[server.row] += code == "read"
+        self.new_outcomes, self.outcomes_since_halving = self.new_outcomes + 1, self.outcomes_since_halving + 1
         self.failing += ((code in FAILURES) - self.failing) * 0.05
         if code == "unreachable":
-            self.unreachable_by_zone.setdefault(machine.zone, {})[machine.id] = self.now
+            self.unreachable_by_zone.setdefault(server.zone, {})[server.id] = self.now
         if code in FAILURES:
-            self.mark(machine, 0.6 if code == "unreachable" else 0.3, f"{code} after {latency // MS} ms")
+            self.record_failure(server, 0.6 if code == "unreachable" else 0.3, f"{code} after {latency_us // MS} ms")
             if code == "timed_out" and stage == "write":
-                self.waits[machine.at, bisect_left(STEPS, latency)] += 1
-            elif code == "timed_out":  # tells of this server, not of what its whole kind costs a token
-                self.learn_read(machine, latency, ahead, of_kind=False)
+                self.wait_histogram[server.row, bisect_left(BIN_EDGES_US, latency_us)] += 1
+            elif code == "timed_out":  # says something about this server, not about the cost per token of its kind
+                self.record_read(server, latency_us, tokens_ahead, for_kind=False)
         elif code in ("done", "read"):
-            self.good(machine)
-        if req.begun == number:
-            self.begun[machine.at] -= 1
+            self.record_success(server)
+        if req.begun_attempt == number:
+            self.open_streams[server.row] -= 1
             if code == "done":
-                usual, took = self.answer_us[req.group], self.now - req.begun_us
-                self.answer_us[req.group] = usual + (took - usual) * 0.05 if usual else took
-                self.owed_us[machine.at] += usual or took
+                usual_us, took_us = self.answer_us[req.request_class], self.now - req.begun_us
+                self.answer_us[req.request_class] = usual_us + (took_us - usual_us) * 0.05 if usual_us else took_us
+                self.expected_stream_us[server.row] += usual_us or took_us
         if code == "read":
-            req.holder, req.held_us = machine, self.now
+            req.holder, req.held_us = server, self.now
         req.closed = req.closed or bool(ended)
         if req.closed:
             self.clean_up(req)
-        elif not req.out:
-            self.next_step(req, machine, stage, code, remark)
+        elif not req.open_attempts:
+            self.next_step(req, server, stage, code, remark)
 
     def clean_up(self, req):
+        """Releases the state of a closed request, and forgets the request once no attempt is open."""
         if req.holder is not None:
             self.out.release(req.id)
             req.holder = None
-        if not req.out:
+        if not req.open_attempts:
             del self.reqs[req.id]
 
-    def next_step(self, req, machine, stage, code, remark):
-        if code == "moot" or req.begun is not None or self.now + self.margin_us >= req.expires:
+    def next_step(self, req, server, stage, code, remark):
+        """What follows the outcome of the last open attempt: the write, a retry or the end."""
+        if code == "moot" or req.begun_attempt is not None or self.now + self.margin_us >= req.expires_us:
             return self.give_up(req)
         if code == "read":
             return self.write(req)
         if code == "full" and stage == "write" and remark == 1:
-            req.holder = None  # the state may only be cut off, and then still fills its reader
+            req.holder = None  # the holder may only be unreachable from there and still hold the state
             self.out.release(req.id)
         elif stage != "read" or code != "reset" or self.failing < 0.1:
-            req.tried.add(machine.id)  # where answers get lost all over, its reader still keeps the text
-        # What never left this machine is no load anywhere; could harm by five further tries of each request.
-        self.spare = max(-1.0, self.spare - (code != "no_way"))
-        if self.spare < 0 or req.ran and self.groups[req.group].effect == "non-replayable":
+            req.tried.add(server.id)  # where answers get lost in general, the reader still has the prompt cached
+        # What never left this machine is no load anywhere. Drawback: up to five more attempts of each request.
+        self.retry_budget = max(-1.0, self.retry_budget - (code != "no_way"))
+        if self.retry_budget < 0 or req.may_have_run and self.request_classes[req.request_class].effect == "non-replayable":
             return self.give_up(req)
         self.write(req) if req.holder is not None else self.read(req)
 
@@ -704,21 +789,22 @@
         if req is None or req.closed:
             return
         req.closed = True
-        for number, forward in enumerate(req.attempts):
-            if forward[3] and number != req.begun and self.may_cancel:  # nobody waits for it
+        for number, attempt in enumerate(req.attempts):
+            if attempt[3] and number != req.begun_attempt and self.may_cancel:  # no client waits for it any more
                 self.out.retract(rid, number)
-        if not req.out:
+        if not req.open_attempts:
             self.clean_up(req)
 
     def on_own_trouble(self, on):
         self.own_trouble = on
-        self.mode("no connection can be opened here", on, "attempts wait for one")
-        self.forgive_waits()
+        self.set_mode("no connection can be opened here", on, "attempts wait for one")
+        self.restart_waits()
 
-    def forgive_waits(self):
-        """What has waited for this machine tells nothing of its server. Guards against moving all attempts at once,
-        and rejecting what still has time; could harm where a server hangs too, by the time that this lasts."""
-        for machine in self.servers.values():
-            machine.waiting = {key: (self.now, writing) for key, (_, writing) in machine.waiting.items()}
+    def restart_waits(self):
+        """Counts the waiting time of all open attempts from now on: what has waited for this machine says nothing about the
+        servers. Guards against moving all attempts at once, and against rejecting requests that still have time. Drawback: a
+        server that hangs at the same time is recognised later, by as long as this lasts."""
+        for server in self.servers.values():
+            server.waiting = {key: (self.now, writing) for key, (_, writing) in server.waiting.items()}
 
-    on_place = on_probed = on_peer = lambda self, *fields: None  # this module asks for none of them
+    on_place = on_probed = on_peer = lambda self, *fields: None  # this router asks for none of these
--- a/lapiswing/routing/groups.py
+++ b/lapiswing/routing/groups.py
@@ -1,65 +1,68 @@
-"""Servers of one role in groups of like ones, and sums over these. What makes servers alike is decided elsewhere."""
+"""Groups of similar servers of one role, and sums over them. What makes servers similar is decided by the caller."""
 
 import numpy as np
 
 
-class Side:
-    """The servers of one role in groups, `keys` naming these. Single servers are groups of one."""
+class ServerGroups:
+    """The servers of one role in groups, named by `keys`. A server that stands alone is a group of one."""
 
     def __init__(self, servers, key_of, weights):
-        self.servers, self.index_of = servers, {m.id: i for i, m in enumerate(servers)}
-        found = {}
-        self.group = np.array([found.setdefault(key_of(m), len(found)) for m in servers], int)
-        self.keys, self.index, self.grouped = list(found), found, len(found) < len(servers)
-        self.counts = np.bincount(self.group, minlength=len(found))
+        self.servers, self.index_of = servers, {s.id: i for i, s in enumerate(servers)}
+        index = {}
+        self.group = np.array([index.setdefault(key_of(s), len(index)) for s in servers], int)  # of each server
+        self.keys, self.index_of_key, self.grouped = list(index), index, len(index) < len(servers)
+        self.counts = np.bincount(self.group, minlength=len(index))
         self.order = np.argsort(self.group, kind="stable")
         self.starts = np.cumsum(self.counts) - self.counts
         self.first = [servers[i] for i in self.order[self.starts].tolist()]  # of each group
-        self.cells = np.array([m.cell for m in servers], int)
-        self.weight = np.array([weights.get(m.id, 1.0) for m in servers])  # inside its group, 1 on average
+        self.cells = np.array([s.cell for s in servers], int)
+        self.weight = np.array([weights.get(s.id, 1.0) for s in servers])  # inside its group, 1 on average
         self.weight = self.weight / (self.total(self.weight) / self.counts)[self.group]
 
-    def lead(self, *of):
-        """Whole numbers of each group's first server."""
-        return [np.array([number(m) for m in self.first], int) for number in of]
+    def of_first(self, *functions):
+        """For each function an array of its integer results for the first server of each group."""
+        return [np.array([function(s) for s in self.first], int) for function in functions]
 
-    def kept(self, earlier):
-        """-> places of the groups that were there before, now and then."""
+    def common_groups(self, earlier):
+        """-> indices of the groups that exist in both arrangements: here, and in the earlier one."""
         return (
-            np.array([(i, earlier.index[key]) for i, key in enumerate(self.keys) if key in earlier.index], int).reshape(-1, 2).T
+            np.array([(i, earlier.index_of_key[key]) for i, key in enumerate(self.keys) if key in earlier.index_of_key], int)
+            .reshape(-1, 2)
+            .T
         )
 
     def total(self, values):
+        """Sums by group."""
         return np.add.reduceat(values[self.order], self.starts, axis=0) if self.grouped else values
 
     def mean(self, values):
-        """By group, each server counted by its weight."""
+        """Means by group, each server counted by its weight."""
         return (self.total((values.T * self.weight).T).T / self.counts).T if self.grouped else values
 
-    def spread(self, by_group):
-        """What each group has, among its servers."""
+    def distribute(self, by_group):
+        """Splits each group's value among its servers by weight."""
         return by_group[self.group] * self.weight / self.counts[self.group]
 
 
-class Racks:
-    """Each rack's place in its zone, so that neighbours can be taken together."""
+class RackPositions:
+    """Each rack's position in its zone, so that neighbouring racks can be grouped."""
 
     def __init__(self, *sides):
-        self.place, in_zone = {}, {}
-        for zone, cell in sorted({(m.zone, m.cell) for side in sides for m in side}):
-            self.place[zone, cell] = in_zone[zone] = in_zone.get(zone, -1) + 1
+        self.position, last_in_zone = {}, {}
+        for zone, cell in sorted({(s.zone, s.cell) for side in sides for s in side}):
+            self.position[zone, cell] = last_in_zone[zone] = last_in_zone.get(zone, -1) + 1
 
     def __len__(self):
-        return len(self.place)
+        return len(self.position)
 
-    def key(self, m, together):
-        """What servers of one group share."""
-        return m.kind, m.zone, self.place[m.zone, m.cell] // together
+    def key(self, server, racks_per_group):
+        """What the servers of one group have in common."""
+        return server.kind, server.zone, self.position[server.zone, server.cell] // racks_per_group
 
-    def label(self, m, together):
-        """A number for the racks that are taken together with this server's."""
-        return m.zone * len(self.place) + self.place[m.zone, m.cell] // together
+    def label(self, server, racks_per_group):
+        """A number for the racks that are grouped with this server's."""
+        return server.zone * len(self.position) + self.position[server.zone, server.cell] // racks_per_group
 
-    def pairs(self, rows, columns, together):
-        """Of groups."""
-        return len({self.key(m, together) for m in rows}) * len({self.key(m, together) for m in columns})
+    def pairs(self, rows, columns, racks_per_group):
+        """How many pairs of groups there are."""
+        return len({self.key(s, racks_per_group) for s in rows}) * len({self.key(s, racks_per_group) for s in columns})
--- a/lapiswing/routing/learned_state.py
+++ b/lapiswing/routing/learned_state.py
@@ -1,43 +1,48 @@
-"""What the decisions of one process learnt, for the next one: plain lists by names and ids.
+"""Saves what a router has learned, for the next process: plain lists that refer to things by name and id.
 
-Kinds and groups count by name, so they outlive a move; a server only as the same start of it. Shares, links, waits, texts
-and tenants' shares belong to the old shape and start afresh."""
+Kinds of servers and request classes are matched by name, so their figures survive a change of the fleet; a server's figures
+apply only to the same start of it. Shares, links, waits, cached prefixes and tenants' quotas depend on the old fleet and start
+afresh."""
 
-MOST = 1 << 62  # of any figure
+MAX_FIGURE = 1 << 62
 
 
-def save(router, least_bad):
-    """-> the lengths of answers, of each kind its read cost and what all gateways together were served by one, of each
-    server its trouble and read cost. `least_bad`: of a failure score, that alone is worth a row."""
+def save(router, min_failure_score):
+    """-> for each request class the duration of answers; for each kind its read cost and what one of its servers served for
+    all gateways together; for each server its failure score and read cost. A server without read cost gets a row only with a
+    failure score above `min_failure_score`."""
     kinds = [
-        [name, role, *cost, float(took[0] / took[1]) * router.gateways]
-        for name, (role, _), cost, took in zip(router.names, router.kinds, router.kind_cost, router.kind_took)
+        [name, role, *cost, float(served[0] / served[1]) * router.gateways]
+        for name, (role, _), cost, served in zip(router.kind_names, router.kinds, router.kind_read_cost, router.kind_served)
     ]
-    boxes = [
-        [m.id, m.started_us, m.failure_score, m.read_us, m.read_tokens]
-        for m in router.servers.values()
-        if m.mode == "ready" and (m.failure_score > least_bad or m.read_tokens)
+    servers = [
+        [s.id, s.started_us, s.failure_score, s.read_us, s.read_tokens]
+        for s in router.servers.values()
+        if s.mode == "ready" and (s.failure_score > min_failure_score or s.read_tokens)
     ]
-    groups = [[g.name, us] for g, us in zip(router.groups, router.answer_us)]
-    return {"groups": groups, "kinds": kinds, "boxes": boxes}
+    classes = [[c.name, us] for c, us in zip(router.request_classes, router.answer_us)]
+    return {"groups": classes, "kinds": kinds, "boxes": servers}
 
 
-def restore(router, learnt):
-    """-> a line on what was taken up. Raises ValueError, TypeError or LookupError on what can't be read, and then nothing
-    is taken up."""
-    if not all(type(x) is str or 0 <= x < MOST for v in learnt.values() for row in v for x in row):
+def restore(router, saved):
+    """-> a text on what was restored. Raises ValueError, TypeError or LookupError on saved state that can't be read; then
+    nothing is restored."""
+    if not all(type(x) is str or 0 <= x < MAX_FIGURE for v in saved.values() for row in v for x in row):
         raise ValueError("a figure is out of range")
-    groups = {name: float(us) for name, us in learnt["groups"]}
-    kinds = {(name, role): [*map(float, (us, of, rps))] for name, role, us, of, rps in learnt["kinds"]}
-    boxes = {box: (int(started), min(1.0, bad), float(us), float(tokens)) for box, started, bad, us, tokens in learnt["boxes"]}
-    router.answer_us, router.carried = [groups.get(g.name, 0.0) for g in router.groups], boxes
-    known = [kinds.get((name, role)) for name, (role, _) in zip(router.names, router.kinds)]
+    classes = {name: float(us) for name, us in saved["groups"]}
+    kinds = {(name, role): [*map(float, (us, tokens, rps))] for name, role, us, tokens, rps in saved["kinds"]}
+    servers = {
+        server: (int(started_us), min(1.0, score), float(us), float(tokens))
+        for server, started_us, score, us, tokens in saved["boxes"]
+    }
+    router.answer_us, router.restored_servers = [classes.get(c.name, 0.0) for c in router.request_classes], servers
+    known = [kinds.get((name, role)) for name, (role, _) in zip(router.kind_names, router.kinds)]
     for i, (us, tokens, rps) in [(i, row) for i, row in enumerate(known) if row]:
-        router.kind_cost[i], router.kind_took[i] = [us, tokens], [rps / router.gateways, 1.0]
-    return "taken up: %d of %d kinds, %d of %d groups, %d boxes" % (
+        router.kind_read_cost[i], router.kind_served[i] = [us, tokens], [rps / router.gateways, 1.0]
+    return "restored: %d of %d kinds, %d of %d request classes, %d servers" % (
         len(known) - known.count(None),
         len(router.kinds),
         sum(us > 0 for us in router.answer_us),
-        len(router.groups),
-        len(boxes),
+        len(router.request_classes),
+        len(servers),
     )
--- a/lapiswing/routing/state.py
+++ b/lapiswing/routing/state.py
@@ -1,4 +1,4 @@
-"""What a Router keeps of each server and of each request. No decision is taken here."""
+"""The state that a Router keeps of servers, requests and measurements. No decision is taken here."""
 
 from typing import NamedTuple
 
@@ -6,116 +6,138 @@
 
 
 class ServerState:
-    def __init__(self, row, kinds, at):
-        self.id, self.at = row.id, at  # at: its row in the router's tables of measurements
+    """One model server as this router knows it."""
+
+    def __init__(self, row, kinds, table_row):
+        self.id, self.row = row.id, table_row  # row: of this server in the router's tables of measurements
         self.failure_score, self.ejected, self.next_probe_us, self.cold = 0.0, False, 0, False
-        self.out_tokens = self.stream_tokens = self.read_us = self.read_tokens = 0  # own; heard
-        self.trust, self.cached_prefixes = 1.0, {}  # part of the text believed kept here that reads did find
-        self.waiting, self.heard_us, self.reported_wait_us, self.wait_reported_us = {}, 0, 0, 0
-        self.memory_used, self.memory_reported_us = 0.0, -1 << 40  # share of its memory that it last told as held
-        self.answered_us = 0  # when the latest-sent of the answered forwards was sent
-        self.listed(row, kinds)
-
-    def listed(self, row, kinds):
+        # Prompt tokens of own open reads; tokens of own open streams; time and tokens of recent reads.
+        self.tokens_in_flight = self.stream_tokens = self.read_us = self.read_tokens = 0
+        self.cache_accuracy, self.cached_prefixes = 1.0, {}  # fraction of expected cache hits found; tokens by session or prefix
+        # Open attempts without an answer: (request, number) -> (sent, whether it is a write).
+        self.waiting, self.last_response_us, self.reported_wait_us, self.wait_reported_us = {}, 0, 0, 0
+        self.memory_used, self.memory_reported_us = 0.0, -1 << 40  # fraction of its memory, as last reported
+        self.newest_answered_us = 0  # when the most recently sent of the answered attempts was sent
+        self.update_from_list(row, kinds)
+
+    def update_from_list(self, row, kinds):
+        """Takes over a row of the list."""
         self.zone, self.cell, self.mode, self.started_us = row.zone, row.cell, row.mode, row.started_us
         self.kind = min(row.kind, len(kinds) - 1)
-        role, self.memory = kinds[self.kind]
+        role, self.memory_tokens = kinds[self.kind]
         self.reads, self.writes = role != "write", role != "read"
 
 
 class RequestState:
-    def __init__(self, rid, group, tenant, tokens, now, expires, target):
-        self.id, self.group, self.tenant, self.tokens = rid, group, tenant, tokens
-        self.arrived, self.target, self.expires, self.up_by = now, target, expires, expires  # up_by: UP_PART
-        self.attempts, self.out, self.tried = [], 0, set()  # out: how many have no outcome yet
-        self.held_us = now  # since when the holder holds its state
-        self.holder = self.begun = self.turn = None  # turn: a cold writer that will take it
-        self.ran, self.fresh, self.closed, self.over_quota = [], tokens, False, False  # ran: forwards that may have
+    """One request from its arrival until it is closed and no attempt is open."""
+
+    def __init__(self, rid, request_class, tenant, tokens, now_us, expires_us, due_us):
+        self.id, self.request_class, self.tenant, self.tokens = rid, request_class, tenant, tokens
+        # due_us: by when the first token is due. connect_by_us: by when an attempt's connection has to be up, so that a held
+        # state is released in time.
+        self.arrived_us, self.due_us, self.expires_us, self.connect_by_us = now_us, due_us, expires_us, expires_us
+        # Each attempt: [server, stage, sent, whether it is open, uncached prompt tokens, prompt tokens queued up to its end].
+        self.attempts, self.open_attempts, self.tried = [], 0, set()
+        self.held_us = now_us  # since when the holder holds its state
+        self.holder = self.begun_attempt = self.cold_writer = None  # cold_writer: a cold decode server that admits it
+        # may_have_run: (server, sent) of attempts that may have had their effect.
+        self.may_have_run, self.uncached_tokens, self.closed, self.over_quota = [], tokens, False, False
 
 
 class Demand(NamedTuple):
-    """Of one class of requests: its part of all, and what each bin of prefill latency leaves of its target, in us."""
+    """One request class: its fraction of all requests, and for each bin of prefill latency what it leaves of the TTFT target."""
 
-    part: float
-    left: np.ndarray
+    fraction: float
+    left_us: np.ndarray
 
 
 class Load(NamedTuple):
-    """What shares worsen: by prefill server, by decode server, and of the links."""
+    """What makes pairs worse as shares grow: load of prefill servers, of decode servers and of links."""
 
-    ahead: np.ndarray  # seconds of prefill work that this gateway has out there
-    work: np.ndarray  # of all gateways, if all of it went there
-    own: np.ndarray  # tokens of own streams there, as far as these tell
-    streams: float  # tokens of streams that follow the shares
-    memory: np.ndarray  # tokens that fit there
-    told: np.ndarray  # what the memory that it told as held takes off its score
-    flow: np.ndarray  # seconds a second that all moves of one nearness would take of a link
+    queued_s: np.ndarray  # seconds of prefill work that this gateway has open at each prefill server
+    work: np.ndarray  # load on each prefill server if all prefill work of all gateways went there
+    own_tokens: np.ndarray  # tokens of own streams at each decode server, weighted by how much they say
+    shared_tokens: float  # tokens of streams that are distributed by the shares
+    memory_tokens: np.ndarray  # capacity of each decode server
+    memory_penalty: np.ndarray  # taken off each decode server's score for the memory use that it reports
+    link_use: np.ndarray  # by distance: part of a link's time if all moves had that distance
 
 
 class RouterState:
-    """What a Router has seen so far, all at nothing."""
-
-    TABLES = ("reads", "waits", "served", "took", "stream_us", "owed_us", "begun")  # with a row for each server
-
-    def __init__(self, now_us, groups, kinds, bins):
-        """`groups`, `kinds`: how many classes of requests and kinds of servers; `bins`: of a histogram."""
+    """Everything that a Router has measured, empty at first."""
+
+    # Arrays with a row for each server.
+    TABLES = (
+        "read_histogram",
+        "wait_histogram",
+        "served",
+        "served_per_s",
+        "stream_time_us",
+        "expected_stream_us",
+        "open_streams",
+    )
+
+    def __init__(self, now_us, classes, kinds, bins):
+        """`classes`, `kinds`, `bins`: how many request classes, kinds of servers and histogram bins there are."""
         self.now = self.began_us = now_us
-        self.servers, self.reqs, self.expect = {}, {}, {}
-        self.readers, self.writers, self.of_kind = [], [], [[] for _ in range(kinds)]
-        self.r_at = self.w_at = np.zeros(0, int)  # rows of the tables of measurements
-        self.reads, self.waits = np.zeros((2, 0, bins))  # bins of reads; of waits for a writer
-        # Served since the last refresh and a second on average; stream time, what it should be; open streams.
-        self.served, self.took, self.stream_us, self.owed_us, self.begun = np.zeros((5, 0))
-        # A move's cost a token: same cell, same zone, other; sums for its slope inside a cell.
-        self.transfer, self.near = [0.0] * 3, [0.0] * 5
-        self.links = {}  # by reader's cell: time of moves that left it, what they take on a free link
-        self.mix = [[0.0, 0.0] for _ in range(groups)]  # reqs and prompt tokens seen lately
-        self.kind_took = [[0.0, 1.0] for _ in range(kinds)]  # served by warm servers of a kind, their seconds
-        self.kind_cost = [[0.0, 0.0] for _ in range(kinds)]  # read time and tokens lately
-        self.heat, self.unreachable_by_zone = {}, {}  # reqs by prefix; servers whose connections did not come up, by zone
-        self.read_tokens, self.read_span, self.reads_out, self.subscribed = 0.0, 1000, 0, True
-        self.rush, self.rush_us = 0.0, now_us  # reqs of the last moments that may have a turn
-        self.recent_reqs = self.read_well = 0.0  # lately: reqs, less those without a turn; reads that ended well
-        self.news, self.timer, self.refreshed_us, self.halved_us = 0, False, 0, now_us
-        self.seen, self.ask_us, self.failing = 0, 0, 0.0  # outcomes since halving; part that fail
-        self.answer_us = [0.0] * groups  # answer length, as time
+        self.servers, self.reqs, self.median_wait_us = {}, {}, {}
+        self.readers, self.writers, self.servers_by_kind = [], [], [[] for _ in range(kinds)]
+        self.reader_rows = self.writer_rows = np.zeros(0, int)  # rows in the tables of measurements
+        self.read_histogram, self.wait_histogram = np.zeros((2, 0, bins))  # read latencies; waits at decode servers
+        # Requests served since the last refresh, and per second on average; time of open streams, measured and expected;
+        # open streams.
+        self.served, self.served_per_s, self.stream_time_us, self.expected_stream_us, self.open_streams = np.zeros((5, 0))
+        # Time per token of a move: inside a cell, inside a zone, across zones; sums of the linear fit for moves inside a cell.
+        self.transfer_us_per_token, self.same_cell_sums = [0.0] * 3, [0.0] * 5
+        self.links = {}  # by the reader's cell: time of moves out of the cell, measured and on an idle link
+        self.class_mix = [[0.0, 0.0] for _ in range(classes)]  # recent requests and their prompt tokens, by request class
+        self.kind_served = [[0.0, 1.0] for _ in range(kinds)]  # requests served by the warm servers of a kind, and their seconds
+        self.kind_read_cost = [[0.0, 0.0] for _ in range(kinds)]  # time and tokens of recent reads of a kind
+        # Recent requests by prefix; by zone the servers whose connections did not come up, and when.
+        self.popularity, self.unreachable_by_zone = {}, {}
+        self.read_tokens, self.read_span_us, self.reads_in_flight, self.subscribed = 0.0, 1000, 0, True
+        self.burst, self.burst_updated_us = 0.0, now_us  # decaying count of own requests, without clients' retries
+        self.recent_reqs = self.successful_reads = 0.0  # recent: requests, less those that found no reader; reads that ended well
+        self.new_outcomes, self.timer_set, self.refreshed_us, self.halved_us = 0, False, 0, now_us
+        self.outcomes_since_halving, self.subscribe_again_us, self.failing = 0, 0, 0.0  # failing: recent fraction of failures
+        self.answer_us = [0.0] * classes  # mean duration of an answer
         self.typical_read_us, self.typical_wait_us, self.modes = 0.0, 0.0, {}
-        self.quota_left = {}  # of tenants seen: what was left of their share, and when
-        self.claims, self.unclaimed = 0, {}  # states that an attempt is to fetch: (request, attempt) by timer token
+        self.quota_left = {}  # by tenant: what was left of its quota, and when
+        self.last_claim, self.pending_claims = 0, {}  # states that an attempt is to fetch: (request, attempt) by timer token
         self.own_trouble = False  # this machine can open no connection
-        self.carried = {}  # servers of an earlier process, by id
+        self.restored_servers = {}  # servers of the previous process, by id
 
     def set_ready_servers(self, ready):
-        """The servers that requests may go to now."""
-        self.readers, self.writers = [m for m in ready if m.reads], [m for m in ready if m.writes]
-        self.r_at, self.w_at = (np.array([m.at for m in side], int) for side in (self.readers, self.writers))
-        self.of_kind = [[m for m in ready if m.kind == kind] for kind in range(len(self.of_kind))]
-
-    def keep_measurements(self):
-        """A row for each server that is new; those of servers that have left and have no open request are forgotten,
-        else every new id would stay for good."""
-        busy = {forward[0].id for req in self.reqs.values() for forward in req.attempts}
-        more = len(self.servers) - len(self.took)
-        self.servers = {m.id: m for m in self.servers.values() if m.mode != "gone" or m.id in busy}
-        at = [m.at for m in self.servers.values()]
+        """Sets the servers that requests may go to."""
+        self.readers, self.writers = [s for s in ready if s.reads], [s for s in ready if s.writes]
+        self.reader_rows, self.writer_rows = (np.array([s.row for s in side], int) for side in (self.readers, self.writers))
+        self.servers_by_kind = [[s for s in ready if s.kind == kind] for kind in range(len(self.servers_by_kind))]
+
+    def resize_tables(self):
+        """Adds a row for each new server, and forgets servers that have left and have no open request: else the tables would
+        grow with every new id."""
+        busy = {attempt[0].id for req in self.reqs.values() for attempt in req.attempts}
+        added = len(self.servers) - len(self.served_per_s)
+        self.servers = {s.id: s for s in self.servers.values() if s.mode != "gone" or s.id in busy}
+        rows = [s.row for s in self.servers.values()]
         for name in self.TABLES:
             table = getattr(self, name)
-            setattr(self, name, np.concatenate((table, np.zeros((more, *table.shape[1:]))))[at])
-        for row, machine in enumerate(self.servers.values()):
-            machine.at = row
-
-    def mean_tokens(self):
-        """Of a prompt, lately."""
-        return sum(m[1] for m in self.mix) / max(1, sum(m[0] for m in self.mix))
-
-    def mean_besides(self, tokens, least):
-        """Mean prompt of the requests seen besides one of `tokens`, 0 where there were `least` or fewer: the first one
-        of a process would else count as usual, however long."""
-        seen = sum(m[0] for m in self.mix) - 1
-        return max(0, sum(m[1] for m in self.mix) - tokens) / seen if seen > least else 0
-
-    def mode(self, name, on, text):
-        """Logs a mode's change once."""
+            setattr(self, name, np.concatenate((table, np.zeros((added, *table.shape[1:]))))[rows])
+        for row, server in enumerate(self.servers.values()):
+            server.row = row
+
+    def mean_prompt_tokens(self):
+        """Of recent requests."""
+        return sum(m[1] for m in self.class_mix) / max(1, sum(m[0] for m in self.class_mix))
+
+    def mean_prompt_excluding(self, tokens, min_requests):
+        """Mean prompt of the requests seen besides one of `tokens`, 0 with `min_requests` others or fewer: else the first
+        request of a process would count as usual, however long it is."""
+        others = sum(m[0] for m in self.class_mix) - 1
+        return max(0, sum(m[1] for m in self.class_mix) - tokens) / others if others > min_requests else 0
+
+    def set_mode(self, name, on, text):
+        """Sets a mode and logs each change of it."""
         if self.modes.get(name, False) != on:
             self.modes[name] = on
             self.out.log(f"{name} {'on' if on else 'off'}: {text}")
--- a/tests/scale/counting.py
+++ b/tests/scale/counting.py
@@ -1,4 +1,4 @@
-"""Counts of what one Router does, by size of the list: no wall time in them."""
+"""Counts the work of one Router by the number of servers; no wall time is measured."""
 
 import gc
 import tracemalloc
@@ -11,10 +11,10 @@
 
 
 class CountingNumpy:
-    """Stands for numpy in a module: counts calls, and the elements that are sorted or partitioned."""
+    """Replaces numpy in a module: counts calls, and the elements that are sorted or partitioned."""
 
     def __init__(self):
-        self.calls = self.sorted = self.looked_at = 0
+        self.calls = self.sorted = self.partitioned = 0
 
     def __getattr__(self, name):
         real = getattr(np, name)
@@ -26,7 +26,7 @@
             if name in ("argsort", "sort", "lexsort"):
                 self.sorted += np.size(args[0])
             if name in ("partition", "argpartition"):
-                self.looked_at += np.size(args[0])
+                self.partitioned += np.size(args[0])
             return real(*args, **more)
 
         return counted
@@ -34,6 +34,7 @@
 
 @contextmanager
 def counting():
+    """-> the counts of numpy's work in the pair table while the context is open."""
     count, modules = CountingNumpy(), (pair_table, groups)
     for module in modules:
         module.np = count
@@ -46,7 +47,7 @@
 
 @contextmanager
 def allocating():
-    """-> a list that holds, at the end, the most bytes that were allocated at once inside."""
+    """-> a list that holds, once the context is closed, the peak of bytes allocated inside."""
     peak = []
     gc.collect()
     tracemalloc.start()
@@ -58,12 +59,12 @@
 
 
 def router_of(servers, seconds=2):
-    """A Router of the target's fleet with so many servers, after some traffic."""
+    """A Router in a fleet like the target's with this many servers, after some seconds of traffic."""
     return Play(servers, 1).run(seconds)
 
 
 def entries(value, seen=None):
-    """How many entries the arrays and containers of an object hold, each counted once."""
+    """How many entries the arrays and containers of an object hold, each object counted once."""
     seen = set() if seen is None else seen
     if id(value) in seen or isinstance(value, (str, bytes, int, float, bool, type(None))):
         return 0
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -356,7 +356,7 @@
         again(place, tmp_path)
         router = place.core.router
         reader = place.specs[0].id
-        assert router.kind_cost[0] == before["kinds"][0][2:4] and router.answer_us[1] == before["groups"][1][1]
+        assert router.kind_read_cost[0] == before["kinds"][0][2:4] and router.answer_us[1] == before["groups"][1][1]
         assert router.servers[reader].read_tokens == next(r[4] for r in before["boxes"] if r[0] == reader)
         assert status(call(place, key="four", text="four").until()) == 200
         for value in (
@@ -368,5 +368,5 @@
             place.gateway.store.put([(records.LEARNT, value, 0)], lambda why: None)
             place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
             again(place, tmp_path)
-            assert place.core.router.kind_cost[0] == [0.0, 0.0]
+            assert place.core.router.kind_read_cost[0] == [0.0, 0.0]
             assert status(call(place, key=value.hex()[:9] + "x", text="five").until()) == 200
--- a/tests/trace.py
+++ b/tests/trace.py
@@ -1,4 +1,4 @@
-"""Helpers of the trace tests: a writer that records decisions as lines, and a small fleet."""
+"""Helpers of the trace tests: a Writer that records decisions as lines of text, and a small fleet."""
 
 import os
 from pathlib import Path
@@ -10,6 +10,8 @@
 
 
 class Recorder:
+    """A Writer that records each action but timers as one line."""
+
     def __init__(self):
         self.lines = []
 
@@ -22,16 +24,16 @@
 
 
 class Play:
-    """One router and its trace; `at(ms, event...)` is one round."""
+    """One router and its trace; `at(ms, event...)` runs one round."""
 
     def __init__(self, effect="replayable", scope="all", servers=("r0", "r1", "w2", "w3"), started_us=0, seed=7, **changes):
-        group = RequestClass("chat", effect, scope, 5000 * MS, 1000 * MS, 40 * MS, 60 * MS, 1.0, 0.3)
+        request_class = RequestClass("chat", effect, scope, 5000 * MS, 1000 * MS, 40 * MS, 60 * MS, 1.0, 0.3)
         settings = {
             "balancers": 2,
             "az": 0,
             "me": 0,
             "resolution_us": 4 * MS,
-            "groups": [group],
+            "groups": [request_class],
             "tenants": [],
             "over_share_worth": 0.1,
             "worth_by": "work",
@@ -67,6 +69,7 @@
 
     @staticmethod
     def server(name, started_us=0, mode="ready", cell=0):
+        """A row of the list; the first letter of the name is the role: r(ead), w(rite) or m(ixed)."""
         return Server(name, 0, cell, "rwm".index(name[0]), 1.0, started_us, mode)
 
     def at(self, ms, *events):
@@ -81,14 +84,15 @@
     def outcome(rid, number, server, code, ms=100, ended=False, remark=0):
         return ("outcome", rid, number, server, code, ms * MS, ended, remark, None)
 
-    def sent(self, verb="forward"):
-        return [line.split() for line in self.out.lines if line.startswith(verb + " ")]
+    def sent(self, action="forward"):
+        """The recorded actions of one kind, each split into words."""
+        return [line.split() for line in self.out.lines if line.startswith(action + " ")]
 
 
 def check(name, play):
-    """Compares with the trace that is kept; WRITE_TRACES=1 writes it anew, to be read before it is committed."""
-    kept = Path(__file__).parent / "traces" / f"{name}.txt"
+    """Compares with the golden trace; WRITE_TRACES=1 rewrites it, to be reviewed before it is committed."""
+    golden = Path(__file__).parent / "traces" / f"{name}.txt"
     text = "\n".join(play.out.lines) + "\n"
     if os.environ.get("WRITE_TRACES"):
-        kept.write_text(text)
-    assert text == kept.read_text()
+        golden.write_text(text)
+    assert text == golden.read_text()
