--- a/lapiswing/benchlink/__init__.py
+++ b/lapiswing/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire on standard input and output."""
+"""The simulator's line protocol on standard input and output."""
--- a/lapiswing/benchlink/__main__.py
+++ b/lapiswing/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the wire loop: python -m lapiswing.benchlink."""
+"""Runs the adapter for the simulator: python -m lapiswing.benchlink."""
 
 import sys
 
--- a/lapiswing/benchlink/wire.py
+++ b/lapiswing/benchlink/wire.py
@@ -1,4 +1,5 @@
-"""Translates between the bench's wire and the decision module: names and units, nothing else."""
+"""Translates between the simulator's line protocol and the Router: names and units, nothing else. One process serves any number
+of gateways, each with a Router of its own."""
 
 import sys
 import traceback
@@ -13,68 +14,69 @@
 
 
 class Malformed(Exception):
-    """Input that is not the wire's; the text names the line and the field."""
+    """Input that does not follow the protocol; the text names the line and the field."""
 
 
-def as_is(value):
+def unchanged(value):
     return value
 
 
-def whole(value):
+def to_int(value):
     return None if value is None else int(value)
 
 
-def code(word):
-    return CODES.get(word, word)
+def outcome_code(name):
+    return CODES.get(name, name)
 
 
-def held(kind):
+def is_held(kind):
     return kind == 1
 
 
-# wire event -> (module event, (wire field, translation, may be missing)...)
+# message -> (router event, (field, translation, whether it may be missing)...)
 EVENTS = {
     "Call": (
         "req",
-        ("Req", as_is, False),
-        ("PromptLen", whole, False),
+        ("Req", unchanged, False),
+        ("PromptLen", to_int, False),
         ("ExpiresMs", us, False),
-        ("Dialogue", as_is, True),
-        ("SharedPrefix", as_is, True),
-        ("NPrefix", whole, True),
-        ("MaxTokens", whole, True),
+        ("Dialogue", unchanged, True),
+        ("SharedPrefix", unchanged, True),
+        ("NPrefix", to_int, True),
+        ("MaxTokens", to_int, True),
         ("EstimateMs", us, True),
-        ("StateBits", whole, True),
-        ("ClientGroup", whole, True),
-        ("Kind", whole, False),
+        ("StateBits", to_int, True),
+        ("ClientGroup", to_int, True),
+        ("Kind", to_int, False),
     ),
-    "First": ("first", ("Req", as_is, False), ("Server", as_is, False), ("LatencyMs", us, False), ("Try", whole, False)),
+    "First": ("first", ("Req", unchanged, False), ("Server", unchanged, False), ("LatencyMs", us, False), ("Try", to_int, False)),
     "Verdict": (
         "outcome",
-        ("Req", as_is, False),
-        ("Try", whole, False),
-        ("Server", as_is, False),
-        ("Code", code, False),
+        ("Req", unchanged, False),
+        ("Try", to_int, False),
+        ("Server", unchanged, False),
+        ("Code", outcome_code, False),
         ("LatencyMs", us, True),
         ("Ended", bool, True),
-        ("Remark", whole, True),
+        ("Remark", to_int, True),
         ("ServerStats", report, True),
     ),
-    "Note": ("place", ("Req", as_is, False), ("Server", as_is, False), ("Try", whole, True), ("Kind", held, False)),
-    "ClientLeft": ("client_left", ("Req", as_is, False)),
-    "Ring": ("timer", ("Nonce", as_is, False)),
+    "Note": ("place", ("Req", unchanged, False), ("Server", unchanged, False), ("Try", to_int, True), ("Kind", is_held, False)),
+    "ClientLeft": ("client_left", ("Req", unchanged, False)),
+    "Ring": ("timer", ("Nonce", unchanged, False)),
     "StatusBack": (
         "probed",
-        ("Server", as_is, False),
-        ("Code", code, False),
+        ("Server", unchanged, False),
+        ("Code", outcome_code, False),
         ("LatencyMs", us, True),
         ("ServerStats", report, True),
     ),
-    "NoteFrom": ("peer", ("Sender", as_is, False), ("Msg", bytes.fromhex, False)),
+    "NoteFrom": ("peer", ("Sender", unchanged, False), ("Msg", bytes.fromhex, False)),
 }
 
 
 def fields(message, wanted):
+    """Yields the translated values of the wanted fields."""
     for name, translate, optional in wanted:
         value = message.get(name)
         if value is None and not optional:
@@ -86,6 +88,7 @@
 
 
 def server_of(row):
+    """A row of Ledger as a Server."""
     for name in ("Server", "Mode"):
         if row.get(name) is None:
             raise Malformed(f"field {name} is missing in a row of Ledger")
@@ -101,7 +104,7 @@
 
 
 class WireWriter:
-    """The module's writer for one gateway; each call is one line of the reply."""
+    """The Writer of one gateway; each call is one line of the reply."""
 
     def __init__(self, gateway, lines):
         self.gateway, self.lines = gateway, lines
@@ -109,7 +112,7 @@
     def put(self, name, **args):
         self.lines.append(orjson.dumps({"t": name, "GatewayId": self.gateway, **args}))
 
-    def forward(self, req, server, timeout_us, _up_us):
+    def forward(self, req, server, timeout_us, _connect_us):
         self.put("Forward", Req=req, Server=server, GiveUpAfterMs=timeout_us / 1000)
 
     def hold_place(self, req, server):
@@ -118,7 +121,7 @@
     def release(self, req):
         self.put("Release", Req=req)
 
-    release_unclaimed = release  # it never drops what an attempt waits for
+    release_unclaimed = release  # the simulator never drops a state that an attempt waits for
 
     def retract(self, req, attempt_no):
         self.put("Retract", Req=req, Try=attempt_no)
@@ -126,8 +129,8 @@
     def move(self, req):
         self.put("Move", Req=req)
 
-    def push_back(self, req, come_back_us):
-        self.put("SayNo", Req=req, RetryInMs=come_back_us / 1000)
+    def push_back(self, req, retry_after_us):
+        self.put("SayNo", Req=req, RetryInMs=retry_after_us / 1000)
 
     def abort(self, req):
         self.put("ReportFailure", Req=req)
@@ -155,7 +158,8 @@
 
 
 def serve(source, sink):
-    routers, lists, news = {}, {}, {}
+    """Reads messages line by line; each OverToYou runs one round of every gateway with new events and writes the actions."""
+    routers, lists, events = {}, {}, {}
     now_us = line_no = 0
     for line in source:
         line_no += 1
@@ -164,33 +168,33 @@
             name = message["t"]
             if name == "Tick":
                 (now_us,) = fields(message, (("TimeMs", us, False),))
-                news = {}
+                events = {}
                 continue
             if name == "OverToYou":
-                sink.write(reply(now_us, routers, news))
+                sink.write(reply(now_us, routers, events))
                 sink.flush()
                 continue
             if name == "Ledger":
-                number, rows = fields(message, (("SetId", as_is, False), ("RowsIn", list, False)))
-                lists[number] = [server_of(row) for row in rows]
+                list_id, rows = fields(message, (("SetId", unchanged, False), ("RowsIn", list, False)))
+                lists[list_id] = [server_of(row) for row in rows]
                 continue
-            (gateway,) = fields(message, (("GatewayId", as_is, False),))
+            (gateway,) = fields(message, (("GatewayId", unchanged, False),))
             if name == "Hello":
                 seed, raw = fields(message, (("Prng", int, False), ("Settings", dict, False)))
-                routers[gateway], news[gateway] = Router(seed, settings_of(raw), now_us), []
+                routers[gateway], events[gateway] = Router(seed, settings_of(raw), now_us), []
                 continue
             if gateway not in routers:
                 raise Malformed(f"field GatewayId of {name} names no gateway: {gateway!r}")
             if name == "CrashNow":
                 del routers[gateway]
-                news.pop(gateway, None)
+                events.pop(gateway, None)
             elif name == "DirectoryUpdate":
-                (kind,) = fields(message, (("Kind", as_is, False),))
+                (kind,) = fields(message, (("Kind", unchanged, False),))
                 rows = lists.get(message.get("SetId"), []) if kind != "unavailable" else []
-                news.setdefault(gateway, []).append(("servers", kind, rows))
+                events.setdefault(gateway, []).append(("servers", kind, rows))
             elif name in EVENTS:
                 event, *wanted = EVENTS[name]
-                news.setdefault(gateway, []).append((event, *fields(message, wanted)))
+                events.setdefault(gateway, []).append((event, *fields(message, wanted)))
             else:
                 raise Malformed(f"unknown message {name!r}")
         except Malformed as problem:
@@ -198,15 +202,16 @@
         except orjson.JSONDecodeError as problem:
             raise Malformed(f"line {line_no}: not JSON: {problem}") from None
         except (KeyError, TypeError, AttributeError) as problem:
-            raise Malformed(f"line {line_no}: not a message of the wire (field {problem})") from None
+            raise Malformed(f"line {line_no}: not a message of the protocol (field {problem})") from None
 
 
-def reply(now_us, routers, news):
+def reply(now_us, routers, events):
+    """The lines of one round of all gateways with events."""
     lines = []
-    for gateway, events in news.items():
+    for gateway, of_gateway in events.items():
         out = WireWriter(gateway, lines)
         try:
-            routers[gateway].round(now_us, events, out)
+            routers[gateway].round(now_us, of_gateway, out)
         except Exception as problem:
             traceback.print_exc(file=sys.stderr)
             out.put("Broken", Msg=f"{type(problem).__name__}: {problem}".replace("\n", " "))
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""Wire batches fed to the adapter's process, and its replies."""
+"""Batches of the simulator's protocol fed to the adapter's process, and its replies."""
 
 import json
 import subprocess
@@ -61,7 +61,7 @@
 TURN = {"t": "OverToYou"}
 
 
-def test_a_req_over_the_wire():
+def test_a_request_over_the_protocol():
     done = run(
         {"t": "Tick", "TimeMs": 0.0},
         TURN,
@@ -90,13 +90,13 @@
 
 
 def test_malformed_lines():
-    for bad, word in (
+    for line, word in (
         ("{", "JSON"),
         ({"t": "Nonsense", "GatewayId": 3}, "Nonsense"),
         ({"t": "Ring"}, "GatewayId"),
         ({"t": "Ring", "GatewayId": 8}, "8"),
         ({"t": "Call", "GatewayId": 3}, "Req"),
     ):
-        done = run(*START, bad)
+        done = run(*START, line)
         assert done.returncode == 2 and done.stderr.count("\n") == 1
         assert "line 5" in done.stderr and word in done.stderr
