--- a/lapiswing/admission/__init__.py
+++ b/lapiswing/admission/__init__.py
@@ -1,4 +1,4 @@
-"""What is decided about a call before it becomes a req. `repeats` knows idempotency keys."""
+"""What is decided about a call before it becomes a request: idempotency keys (`repeats`) and caps on tenants (`caps`)."""
 
 from lapiswing.admission.repeats import Repeats
 
--- a/lapiswing/admission/repeats.py
+++ b/lapiswing/admission/repeats.py
@@ -1,26 +1,29 @@
-"""What a call with an idempotency key that was seen before is answered. No I/O, no clock.
+"""Decides what to do with a call whose idempotency key may have been seen before. No I/O, no clock.
 
-Entries go   running -> done      the answer is known and kept, within bounds
-             running -> doubted   aborted, or its client left: it may have run
-             running -> (none)    pushed back: it never ran, so the key is free
-and a call that comes with the key is
-             new                  nothing is known of the key, or a repeat at the boxes is harmless
-             join                 the first try runs: one req, two who listen
-             replay               the kept answer, once more
-             conflict             the same key with another body: the client's fault
-             doubt                it may have run and can't be run again
-             full                 no room for another key: not taken
+States of a key:   running -> done      the answer is known and kept, within limits on memory
+                   running -> doubted   failed, or its client left: the call may have run
+                   running -> (none)    rejected: the call never ran, so the key is free
 
-`latest_us`, given with 'new', is when the boxes that drop repeats may have forgotten the first try: nothing of the new
-one may be sent after it. A doubt is kept beyond the window, since a client that asks later would else run it twice."""
+Result of looking up a key:
+    new        nothing is known of it, or a repeat is harmless: the call may run
+    join       the first call is still running: both clients get its answer
+    replay     the answer is known and is sent again
+    conflict   the key was used with another body: an error of the client
+    doubt      the call may have run and can't be run again
+    full       there is no room for another key: the call is not accepted
 
-DOUBT_WINDOWS = 12  # for this many windows a doubt is remembered
+`latest_us`, returned with 'new', is when the servers that drop repeats may have forgotten the first call: no attempt of the
+new one may be sent after it. A doubt is kept beyond that window, else a client that asks later would run the call twice."""
+
+DOUBT_WINDOWS = 12  # how long a doubt is kept, in windows of the request class
 
 
 class Entry:
+    """One idempotency key."""
+
     __slots__ = (
         "key",
-        "print",
+        "fingerprint",
         "state",
         "owner",
         "sent_us",
@@ -28,105 +31,110 @@
         "window_us",
         "size",
         "wide",
-        "durable",
-        "noted_ms",
-        "lost",
+        "waiters",
+        "recorded_ms",
+        "write_error",
     )
 
     def __init__(self, key, fingerprint, window_us, wide):
-        self.durable = self.noted_ms = self.lost = None  # of `state.memory`: whether it is put down
-        self.key, self.print, self.state, self.owner = key, fingerprint, "running", None
+        self.waiters = self.recorded_ms = self.write_error = None  # for `state.memory`: how its intent is recorded
+        # owner: while running what produces the answer, when done what holds it.
+        self.key, self.fingerprint, self.state, self.owner = key, fingerprint, "running", None
         self.sent_us, self.ends_us, self.window_us, self.size, self.wide = None, 0, window_us, 0, wide
 
 
 class Repeats:
-    def __init__(self, most, most_bytes):
-        self.most, self.most_bytes, self.bytes = most, most_bytes, 0
-        self.entries = {}  # ended entries are moved to the end, so that the first ended is the oldest
+    """The idempotency keys that are known, and the answers kept for them."""
+
+    def __init__(self, max_entries, max_bytes):
+        self.max_entries, self.max_bytes, self.bytes = max_entries, max_bytes, 0
+        self.entries = {}  # an entry that ends moves to the end, so that the one that ended first is found first
 
     def look_up(self, now_us, key, fingerprint, window_us, wide):
-        """`wide`: 'boxes' where every box drops repeats of it (keyed, scope all), 'always' where a repeat is harmless
-        (replayable), '' elsewhere. -> (what, entry, latest_us)"""
+        """`wide`: 'boxes' where every server drops repeats of the call (keyed, scope all), 'always' where a repeat is harmless
+        (replayable), '' elsewhere. -> (result, entry, latest_us)"""
         entry = self.entries.get(key)
         if entry is not None and entry.state != "running" and now_us >= entry.ends_us:
             self.drop(entry)
             entry = None
         if entry is None:
-            if len(self.entries) >= self.most and not self.make_room(now_us):
+            if len(self.entries) >= self.max_entries and not self.make_room(now_us):
                 return "full", None, None
             entry = self.entries[key] = Entry(key, fingerprint, window_us, wide)
             return "new", entry, None
-        if entry.print != fingerprint:
+        if entry.fingerprint != fingerprint:
             return "conflict", entry, None
         if entry.state == "running":
             return "join", entry, None
         if entry.state == "done" and entry.owner is not None:
             return "replay", entry, None
-        latest = (entry.sent_us or now_us) + entry.window_us
-        if entry.wide == "always" or entry.wide and now_us < latest:
+        latest_us = (entry.sent_us or now_us) + entry.window_us
+        if entry.wide == "always" or entry.wide and now_us < latest_us:
             entry.state, entry.owner = "running", None
-            return "new", entry, latest if entry.wide == "boxes" else None
+            return "new", entry, latest_us if entry.wide == "boxes" else None
         return "doubt", entry, None
 
     def restore(self, key, fingerprint, window_us, wide, state, sent_us, ends_us, owner):
-        """What was remembered over a restart: 'done' or 'doubted'. -> the entry, or None where it is known already."""
+        """Adds a key that was remembered across a restart; `state`: 'done' or 'doubted'. -> the entry, or None where the key
+        is known already."""
         if key in self.entries:
             return None
         entry = self.entries[key] = Entry(key, fingerprint, window_us, wide)
         entry.state, entry.sent_us, entry.ends_us = state, sent_us, ends_us
-        if owner is not None and self.bytes + owner.size <= self.most_bytes:
+        if owner is not None and self.bytes + owner.size <= self.max_bytes:
             entry.owner, entry.size = owner, owner.size
             self.bytes += owner.size
         return entry
 
     def mark_sent(self, entry, now_us):
-        """Its first forward that may run an effect goes out."""
+        """Its first attempt that may run an effect is sent."""
         if entry.sent_us is None:
             entry.sent_us = now_us
 
     def mark_done(self, entry, now_us, owner, size):
-        """`owner` holds the answer; it is dropped again when its bytes are needed for newer ones."""
+        """`owner` holds the answer; it is dropped when newer answers need its bytes."""
         entry.state, entry.ends_us = "done", now_us + max(entry.window_us, 1)
         self.entries[entry.key] = self.entries.pop(entry.key)
-        if size <= self.most_bytes:
+        if size <= self.max_bytes:
             entry.owner, entry.size = owner, size
             self.bytes += size
         else:
             entry.owner = None
-        for other in list(self.entries.values()) if self.bytes > self.most_bytes else ():
-            if self.bytes <= self.most_bytes:
+        for other in list(self.entries.values()) if self.bytes > self.max_bytes else ():
+            if self.bytes <= self.max_bytes:
                 break
             if other.state == "done":
-                self.shed(other)
+                self.drop_answer(other)
 
     def mark_in_doubt(self, entry, now_us):
-        if entry.sent_us is None:  # nothing that could have run was sent
+        """The call ended without an answer, and may have run."""
+        if entry.sent_us is None:  # no attempt that could have run was sent
             return self.mark_never_ran(entry)
         entry.state, entry.owner = "doubted", None
         entry.ends_us = entry.sent_us + DOUBT_WINDOWS * entry.window_us
         self.entries[entry.key] = self.entries.pop(entry.key)
 
     def mark_never_ran(self, entry):
-        """Pushed back. A key whose earlier try may have run stays in doubt."""
+        """The call was rejected. A key whose earlier call may have run stays in doubt."""
         if entry.sent_us is not None:
             entry.state, entry.owner = "doubted", None
             entry.ends_us = entry.sent_us + DOUBT_WINDOWS * entry.window_us
         else:
             self.drop(entry)
 
-    def shed(self, entry):
+    def drop_answer(self, entry):
         self.bytes -= entry.size
         entry.owner, entry.size = None, 0
 
     def drop(self, entry):
-        self.shed(entry)
+        self.drop_answer(entry)
         if self.entries.get(entry.key) is entry:
             del self.entries[entry.key]
 
     def make_room(self, now_us):
-        """Forgets what is over. Never what runs, is in doubt or was answered within its window: each of these could
-        run twice, so a key more is not taken instead."""
-        over = [e for e in self.entries.values() if e.state != "running" and now_us >= e.ends_us]
-        for entry in over:
+        """Drops all keys that have ended. -> whether there were any. Never drops a key that is running, in doubt or answered
+        within its window: each of these could run twice, so a new key is not accepted instead."""
+        ended = [e for e in self.entries.values() if e.state != "running" and now_us >= e.ends_us]
+        for entry in ended:
             self.drop(entry)
-        return bool(over)
+        return bool(ended)
--- a/lapiswing/state/__init__.py
+++ b/lapiswing/state/__init__.py
@@ -1,7 +1,7 @@
 """What a gateway remembers across a restart.
 
-records   records <-> bytes, and what of them is still to be believed; pure
-memory    the doing part: between the core, the operators' acts and the store"""
+records   converts between records and bytes, and decides which stored records still apply; pure
+memory    connects the gateway core, the operators' actions and the store"""
 
 from lapiswing.state.memory import Memory
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""What outlives a gateway: judged from what boxes ran and clients got, over restarts and kills."""
+"""What a gateway remembers across restarts and kills, judged by what model servers ran and what clients got."""
 
 import http.client
 import json
@@ -23,8 +23,8 @@
 S = 1_000_000
 
 
-def again(place, folder):
-    """Another life of the gateway, before the same boxes. The one before is gone as by a kill: nothing of it is closed tidily."""
+def restart(place, folder):
+    """Starts another gateway before the same model servers. The earlier one ends as if killed, without an orderly close."""
     from lapiswing.gateway.serve import Gateway
     from lapiswing.observe import start_logs
 
@@ -32,7 +32,7 @@
     old.listener.close()
     for stream in [c.stream for c in old.server.connections] + [c.stream for c in old.pool.all]:
         stream.abort()
-    old.store.held.close()  # the kernel lets go of a dead process's lock
+    old.store.held.close()  # the kernel releases the lock of a dead process
     old.store.mode = "closed"
     place.loop.after.remove(old.core.turn)
     old.settings.listen.port = free_ports(1)[0]
@@ -54,7 +54,7 @@
         first = call(place).until()
         assert status(first) == 200
         place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
-        again(place, tmp_path)
+        restart(place, tmp_path)
         second = call(place).until()
         assert status(second) == 200 and words(second) == words(first)
         assert len(place.rows("ran")) == 1 and place.core.counts["replayed"] == 1
@@ -62,22 +62,22 @@
 
 
 def test_a_call_that_was_cut_off_by_the_kill_is_in_doubt(tmp_path):
-    """Its forward is at a box; where not all boxes drop repeats it must not go out again."""
+    """Its attempt is at a model server; where not all servers drop repeats it must not be sent again."""
     with with_store(tmp_path / "s", scope="ZONE") as place:
         raw = call(place, tokens=3000)
         place.until(lambda: place.rows("ran"))
         raw.read()
-        again(place, tmp_path)
+        restart(place, tmp_path)
         got = call(place, tokens=3000).until()
         assert status(got) == 502 and len(place.rows("ran")) == 1
 
 
-def test_where_all_boxes_drop_repeats_it_is_tried_again_within_the_window_only(tmp_path):
+def test_where_all_servers_drop_repeats_a_call_is_retried_only_within_the_window(tmp_path):
     with with_store(tmp_path / "s") as place:
         first = call(place, tokens=3000)
         place.until(lambda: place.rows("ran"))
         key = place.rows("ran")[0]["key"]
-        again(place, tmp_path)
+        restart(place, tmp_path)
         raw = call(place, tokens=3000)
         place.until(lambda: place.rows("repeat", key=key))
         entry = next(iter(place.core.repeats.entries.values()))
@@ -87,15 +87,15 @@
         assert len(place.rows("ran")) == 1
 
 
-def test_a_further_try_does_not_make_the_boxes_window_longer(tmp_path):
-    """They drop repeats for a window from the first try on. Killed twice, the second try's time was taken for the first's, and a third
-    try could run the effect again."""
+def test_a_retry_does_not_extend_the_window_of_the_servers(tmp_path):
+    """Servers drop repeats for a window from the first try on. After two kills the second try's time was taken for the
+    first's, and a third try could run the effect again."""
     with with_store(tmp_path / "s") as place:
         raws = [call(place, tokens=3000)]
         place.until(lambda: place.rows("ran"))
         first = next(iter(place.core.repeats.entries.values())).sent_us
         for i in (1, 2):
-            again(place, tmp_path)
+            restart(place, tmp_path)
             place.turn_for(120)
             raws.append(call(place, tokens=3000))
             place.until(lambda: len(place.rows("repeat")) == i)
@@ -105,11 +105,11 @@
             raw.left()
 
 
-def test_the_intent_is_on_the_disk_before_the_box_hears_of_the_call(tmp_path):
+def test_the_intent_is_on_the_disk_before_the_call_is_sent(tmp_path):
     with with_store(tmp_path / "s") as place:
         worker, jobs = place.gateway.store.worker, []
         real = worker.submit
-        worker.submit = lambda job, done: jobs.append((job, done))  # a disk that takes its time
+        worker.submit = lambda job, done: jobs.append((job, done))  # a disk that stalls
         raw = call(place)
         place.until(lambda: place.rows("state"))
         place.turn_for(100)
@@ -154,12 +154,12 @@
         assert len(place.rows("ran", model="order")) == 2 * ran
 
 
-def test_a_store_that_can_not_be_read_leaves_a_gateway_without_memory_not_without_service(tmp_path):
+def test_a_gateway_whose_store_can_not_be_read_serves_without_it(tmp_path):
     with with_store(tmp_path / "s") as place:
         assert status(call(place).until()) == 200
         place.until(lambda: not place.gateway.store.busy)
         (tmp_path / "s" / "MANIFEST").write_bytes(b"damaged")
-        again(place, tmp_path)
+        restart(place, tmp_path)
         assert place.gateway.store.mode == "failed" and "MANIFEST" in place.gateway.store.why
         assert status(call(place).until()) in (429, 503) and len(place.rows("ran")) == 1
         assert status(Raw(place, post(chat("question"))).until()) == 200
@@ -176,14 +176,14 @@
             admin.put_down(act, ask, what, lambda why, do=do: done.append((why, do())))
         place.until(lambda: len(done) == 2)
         assert [why for why, _ in done] == [None, None]
-        again(place, tmp_path)
+        restart(place, tmp_path)
         assert place.core.membership.told[box].mode == "draining" and place.core.membership.why(box) == "operator"
         assert status(Raw(place, post(chat("question"))).until()) in (429, 503)
         raw = Raw(place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
         assert status(raw.until()) == 200 and not place.rows("arrive", box=box)
 
 
-def test_records_that_are_over_or_unreadable_are_not_believed():
+def test_expired_and_unreadable_records_are_not_restored():
     repeats = Repeats(10, 1000)
     entry = repeats.look_up(0, "k", b"p", 5_000_000, "boxes")[1]
     running, ends = records.intent(entry, 1000, 1000)
@@ -204,7 +204,7 @@
     assert [k[0] for k in restore(rows, 7000).keys] == ["a", "c"] and restore(rows, 200_000).keys == []
 
 
-# ---- the real thing: a process that is killed, again and again
+# ---- gateway processes that are killed
 
 SETTINGS = """
 gateway {{ name: "killed" }} listen {{ port: {port} }} store {{ folder: "store" }}
@@ -216,8 +216,8 @@
 """
 
 
-class Killed:
-    """A gateway process before stand-ins of a process of their own, whose record tells what ran."""
+class KilledGateway:
+    """A gateway process before stand-in model servers in another process, whose record shows what ran."""
 
     def __init__(self, folder, scope):
         self.folder = folder
@@ -281,7 +281,7 @@
 
 
 def ask(port, key, text):
-    """One try of a client. -> its status, or None where the connection broke."""
+    """One try of a client. -> (status, headers, body); status None where the connection broke."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=8)
     try:
         connection.request(
@@ -304,11 +304,11 @@
 
 @pytest.mark.parametrize("scope", ["ALL", "CELL"])
 def test_killed_at_random_moments_while_keyed_clients_retry(tmp_path, scope):
-    """Effects are counted at the boxes: none twice, and what a client was told is done has run."""
+    """Effects are counted at the model servers: none runs twice, and each answer that a client got is of a call that ran."""
     import threading
 
-    site, rng = Killed(tmp_path, scope), random.Random(scope)
-    told, over = {}, threading.Event()
+    site, rng = KilledGateway(tmp_path, scope), random.Random(scope)
+    answered, over = {}, threading.Event()
 
     def client(n):
         mine = random.Random(f"{scope}/{n}")
@@ -318,10 +318,10 @@
             for _ in range(40):
                 code, headers, body = ask(site.port, key, f"order {key}")
                 if code == 200:
-                    told[key] = body["choices"][0]["message"]["content"]
+                    answered[key] = body["choices"][0]["message"]["content"]
                     break
                 if code is not None and headers.get("x-should-retry") == "false":
-                    break  # in doubt: it must not be asked again
+                    break  # in doubt: it must not be tried again
                 time.sleep(0.02 + mine.random() * 0.1)
 
     clients = [threading.Thread(target=client, args=(n,)) for n in range(6)]
@@ -337,15 +337,15 @@
         for thread in clients:
             thread.join()
         ran = Counter(r["key"] for r in site.rows("ran"))
-        assert len(told) > 20 and max(ran.values()) == 1, [k for k, n in ran.items() if n > 1][:3]
-        assert set(k.split("/")[-1] for k in ran) >= set(told) or all(any(t in k for k in ran) for t in told)
+        assert len(answered) > 20 and max(ran.values()) == 1, [k for k, n in ran.items() if n > 1][:3]
+        assert set(k.split("/")[-1] for k in ran) >= set(answered) or all(any(key in k for k in ran) for key in answered)
     finally:
         over.set()
         site.close()
 
 
-def test_figures_outlive_a_restart_and_a_bad_record_means_a_fresh_start(tmp_path):
-    """What the decisions learnt is put down and taken up again; damaged, outdated or senseless ones never stop a start."""
+def test_learned_state_outlives_a_restart_and_a_bad_record_means_a_fresh_start(tmp_path):
+    """What the router has learned is stored and restored; a damaged, outdated or invalid record never prevents a start."""
     with with_store(tmp_path / "s") as place:
         for text in ("one", "two", "three"):
             assert status(call(place, key=text, text=text).until()) == 200
@@ -353,7 +353,7 @@
         assert before["groups"][1][1] > 0 and any(row[4] for row in before["boxes"]) and before["kinds"][0][2] > 0
         place.gateway.put_learnt()
         place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
-        again(place, tmp_path)
+        restart(place, tmp_path)
         router = place.core.router
         reader = place.specs[0].id
         assert router.kind_read_cost[0] == before["kinds"][0][2:4] and router.answer_us[1] == before["groups"][1][1]
@@ -362,11 +362,13 @@
         for value in (
             b"\xc1",
             records.msgspec.msgpack.encode([9, 0, {}]),
-            records.learnt({"kinds": [["rd", 1]]}, 0),
-            records.learnt({"groups": [], "kinds": [["rd", "read", -1.0, 1.0, 1.0]], "boxes": []}, place.core.memory.unix_ms()),
+            records.learned_state({"kinds": [["rd", 1]]}, 0),
+            records.learned_state(
+                {"groups": [], "kinds": [["rd", "read", -1.0, 1.0, 1.0]], "boxes": []}, place.core.memory.unix_ms()
+            ),
         ):
-            place.gateway.store.put([(records.LEARNT, value, 0)], lambda why: None)
+            place.gateway.store.put([(records.LEARNED_STATE_KEY, value, 0)], lambda why: None)
             place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
-            again(place, tmp_path)
+            restart(place, tmp_path)
             assert place.core.router.kind_read_cost[0] == [0.0, 0.0]
             assert status(call(place, key=value.hex()[:9] + "x", text="five").until()) == 200
