--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -21,7 +21,7 @@
 import orjson
 from hdrh.histogram import HdrHistogram
 
-from lapiswing.chat import DONE, event
+from lapiswing.chat import DONE, encode_event
 from lapiswing.http1 import Limits, Pool, Server
 from lapiswing.loop import Clock, Listener, Loop, Stream, connect, free_ports, listen_socket
 
@@ -52,8 +52,8 @@
         self.server = Server(loop, self.app, Limits(connections=20000))
         self.server.listener = Listener(loop, listen_socket("127.0.0.1", port), self.server.accept, 20000)
         frame = {"id": "chatcmpl-x", "object": "chat.completion.chunk", "created": 0, "model": "q"}
-        self.part = event({**frame, "choices": [{"index": 0, "delta": {"content": "soup "}, "finish_reason": None}]})
-        self.last = event({**frame, "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}]}) + DONE
+        self.part = encode_event({**frame, "choices": [{"index": 0, "delta": {"content": "soup "}, "finish_reason": None}]})
+        self.last = encode_event({**frame, "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}]}) + DONE
         self.read = orjson.dumps(
             {"usage": {"prompt_tokens": 9}, "kv_transfer_params": {"do_remote_prefill": True, "remote_engine_id": "x"}}
         )
--- a/lapiswing/admin/facts.py
+++ b/lapiswing/admin/facts.py
@@ -28,7 +28,7 @@
         ramp = self.gateway.settings.rules.ramp_ms * MS
         out = {}
         for name, row in core.membership.told.items():
-            tally, machine = core.tally.box(name), machines.get(name)
+            tally, machine = core.tally.server(name), machines.get(name)
             report = tally.report
             out[name] = {
                 "role": self.role(row.kind),
@@ -38,9 +38,9 @@
                 "zone": row.zone,
                 "cell": row.cell,
                 "kind": core.settings.kind[row.kind].name,
-                "out": tally.out,
+                "out": tally.open_attempts,
                 "codes": dict(tally.codes),
-                "last": tally.last,
+                "last": tally.last_code,
                 "first_us": tally.first_us,
                 "read_us": tally.read_us,
                 "fail_us": tally.fail_us,
@@ -78,9 +78,9 @@
         for at in range(0, len(reqs), ROWS * 8):
             now = self.core.loop.clock.now_us()
             for req in reqs[at : at + ROWS * 8]:
-                if req.held_us is not None and req.state is not None and not req.outs:
+                if req.held_since_us is not None and req.state is not None and not req.attempts:
                     count += 1
-                    oldest = max(oldest, now - req.held_us)
+                    oldest = max(oldest, now - req.held_since_us)
             yield
         self.hold = (count, oldest)
 
@@ -111,8 +111,8 @@
             "lag_us": lag,
             "read_wait_us": float(getattr(router, "read_mean", 0)),
             "write_wait_us": float(getattr(router, "wait_mean", 0)),
-            "first_p50_ms": core.tally.first.at(0.5),
-            "first_p99_ms": core.tally.first.at(0.99),
+            "first_p50_ms": core.tally.first_token.quantile_ms(0.5),
+            "first_p99_ms": core.tally.first_token.quantile_ms(0.99),
             "starts_unix_ms": self.starts,
             "unix_ms": time.time_ns() // 1_000_000,
             "last_end": self.last_end,
@@ -134,23 +134,23 @@
 
 def row_of(core, req, now):
     """One req, as staff see it. Only numbers and names; nothing that a client wrote."""
-    outs = [{"stage": out.stage, "box": out.server, "ms": (now - out.sent_us) // MS} for out in req.outs.values()]
-    stage = "stream" if req.begun is not None else outs[0]["stage"] if outs else "held" if req.state else "waits"
+    outs = [{"stage": out.stage, "box": out.server, "ms": (now - out.sent_us) // MS} for out in req.attempts.values()]
+    stage = "stream" if req.answering_no is not None else outs[0]["stage"] if outs else "held" if req.state else "waits"
     return {
         "req": req.number,
-        "group": core.facts[req.spec.group].name,
+        "group": core.request_classes[req.spec.group].name,
         "tenant": tenant_name(core, req.spec.tenant),
         "stage": stage,
         "box": outs[0]["box"] if outs else req.state[0] if req.state else None,
-        "age_ms": (now - req.taken_us) // MS,
-        "left_ms": None if req.begun is not None else (req.expires_us - now) // MS,
-        "held_ms": (now - req.held_us) // MS if req.held_us is not None and req.state is not None else None,
+        "age_ms": (now - req.accepted_us) // MS,
+        "left_ms": None if req.answering_no is not None else (req.expires_us - now) // MS,
+        "held_ms": (now - req.held_since_us) // MS if req.held_since_us is not None and req.state is not None else None,
         "prompt": req.spec.tokens,
         "tokens": req.answer.assembler.tokens,
-        "forwards": req.sends,
+        "forwards": req.attempts_sent,
         "resumes": req.resumes,
         "outs": outs,
-        "trail": req.trail[-8:],
+        "trail": req.attempt_history[-8:],
     }
 
 
--- a/lapiswing/admin/serve.py
+++ b/lapiswing/admin/serve.py
@@ -116,7 +116,7 @@
             self.gateway.tasks.add("scan of holds", self.facts.scan(), priority=2, done=self.scanned)
         self.looks += 1
         if self.looks % 10 == 0:
-            self.core.tally.first.halve()
+            self.core.tally.first_token.halve()
         facts = self.last = self.facts.take()
         for what, found in self.diagnosis.look(facts):
             self.changed("finding", what=what, **finding_row(found, self.unix_ms))
@@ -240,12 +240,12 @@
                         "holds": self.facts.hold[0],
                         "oldest_hold_ms": self.facts.hold[1] // MS,
                         "hold_limit_ms": last["hold_limit_us"] // MS,
-                        "first_p50_ms": core.tally.first.at(0.5),
-                        "first_p99_ms": core.tally.first.at(0.99),
+                        "first_p50_ms": core.tally.first_token.quantile_ms(0.5),
+                        "first_p99_ms": core.tally.first_token.quantile_ms(0.99),
                         "lag_us": last["lag_us"],
                         "read_wait_ms": round(last["read_wait_us"] / MS, 1),
                         "write_wait_ms": round(last["write_wait_us"] / MS, 1),
-                        "first_bins": core.tally.first.bins,
+                        "first_bins": core.tally.first_token.bins,
                     }
                 )
             )
@@ -318,7 +318,7 @@
         return {
             "open": len(book.sessions),
             "connected": len(front.connections),
-            "away": sum(s.away_us is not None for s in book.sessions.values()),
+            "away": sum(s.disconnected_since_us is not None for s in book.sessions.values()),
             "bytes": book.bytes,
         }
 
@@ -329,13 +329,13 @@
         if req is None:
             return self.error(exchange, 404, "no such req is open; its line is in the log")
         row = row_of(self.core, req, self.loop.clock.now_us())
-        exchange.json(200, {"v": VERSION, **row, "trail": req.trail, "reasons": self.reasons(req)})
+        exchange.json(200, {"v": VERSION, **row, "trail": req.attempt_history, "reasons": self.reasons(req)})
 
     def reasons(self, req):
         """Why it went where it went, as far as the decisions' own figures say now."""
         boxes, shares, machines = self.facts.boxes(), self.facts.shares(), getattr(self.core.router, "machines", {})
         out = []
-        for line in req.trail:
+        for line in req.attempt_history:
             stage, _, rest = line.partition(" ")
             name = rest.split(" ")[0]
             box, machine = boxes.get(name), machines.get(name)
@@ -354,7 +354,7 @@
             if box["cold"]:
                 why.append("just started")
             out.append(f"{line}: {', '.join(why)}")
-        if not req.trail and not req.outs:
+        if not req.attempt_history and not req.attempts:
             out.append("waits for the decisions")
         return out
 
@@ -438,7 +438,7 @@
             raise Impossible(f"{what} was not drained by an operator" + (f"; it drains by the {why}'s word" if why else ""))
 
         def do():
-            core.tell_members(core.membership.order(what, draining))
+            core.apply_membership(core.membership.order(what, draining))
             return f"{what} {'drains' if draining else 'is taken back'}"
 
         return do
@@ -496,12 +496,12 @@
         )
         yield "lapiswing_oldest_hold_seconds", "gauge", "Age of the oldest hold", [({}, facts["oldest_hold_us"] / 1e6)]
         yield "lapiswing_turn_seconds", "gauge", "Longest turn of the loop in the last second", [({}, facts["lag_us"] / 1e6)]
-        first = core.tally.first
+        first = core.tally.first_token
         yield (
             "lapiswing_first_token_seconds",
             "gauge",
             "Time to a first token, lately",
-            [({"quantile": q}, (first.at(q) or 0) / 1000) for q in (0.5, 0.9, 0.99)],
+            [({"quantile": q}, (first.quantile_ms(q) or 0) / 1000) for q in (0.5, 0.9, 0.99)],
         )
         boxes = self.facts.boxes()
         yield (
--- a/lapiswing/chat/__init__.py
+++ b/lapiswing/chat/__init__.py
@@ -1,22 +1,22 @@
 """The chat API as its public specification has it: calls, errors, streamed events. Pure: bytes and values only."""
 
-from lapiswing.chat.call import Call, Wrong, parse_call, prompt_tokens
+from lapiswing.chat.call import Call, InvalidCall, estimate_prompt_tokens, parse_call
 from lapiswing.chat.errors import ABORTED, PUSHED_BACK, error_body
-from lapiswing.chat.events import DONE, Assembler, Events, TooLong, event, joined, without_usage
+from lapiswing.chat.events import DONE, Assembler, EventParser, EventTooLong, encode_event, joined, without_usage
 
 __all__ = [
     "ABORTED",
     "Assembler",
     "Call",
     "DONE",
-    "Events",
+    "EventParser",
     "PUSHED_BACK",
-    "TooLong",
-    "Wrong",
+    "EventTooLong",
+    "InvalidCall",
     "error_body",
-    "event",
+    "encode_event",
     "joined",
     "parse_call",
-    "prompt_tokens",
+    "estimate_prompt_tokens",
     "without_usage",
 ]
--- a/lapiswing/chat/call.py
+++ b/lapiswing/chat/call.py
@@ -33,7 +33,7 @@
     n: int | None = None
 
 
-class Wrong(Exception):
+class InvalidCall(Exception):
     """The caller's fault; `param` names the field."""
 
     def __init__(self, message, param=None):
@@ -50,10 +50,10 @@
         self.raw, self.model, self.stream = raw, shape.model, bool(shape.stream)
         self.include_usage = bool(shape.stream_options and shape.stream_options.include_usage)
         self.max_tokens = shape.max_completion_tokens or shape.max_tokens
-        self.user, self.texts = shape.user, [text_of(m) for m in shape.messages]
+        self.user, self.texts = shape.user, [message_text(m) for m in shape.messages]
 
 
-def text_of(message):
+def message_text(message):
     if message.content is None:
         return message.role
     if isinstance(message.content, str):
@@ -62,33 +62,33 @@
 
 
 def parse_call(body: bytes) -> Call:
-    """Raises Wrong with the field at fault."""
+    """Raises InvalidCall with the field at fault."""
     try:
         raw: Any = orjson.loads(body)
     except orjson.JSONDecodeError as problem:
-        raise Wrong(f"The body is not valid JSON: {problem}") from None
+        raise InvalidCall(f"The body is not valid JSON: {problem}") from None
     return call_of(raw)
 
 
 def call_of(raw) -> Call:
     """The same for a body that has been read from JSON."""
     if not isinstance(raw, dict):
-        raise Wrong("The body must be a JSON object")
+        raise InvalidCall("The body must be a JSON object")
     try:
         shape = msgspec.convert(raw, Shape)
     except msgspec.ValidationError as problem:
         text, _, path = str(problem).partition(" - at `$.")
         param = path.rstrip("`") or (text.split("`")[1] if "`" in text and "required" in text else None)
-        raise Wrong(text, param) from None
+        raise InvalidCall(text, param) from None
     if shape.n not in (None, 1):
-        raise Wrong("Only one choice a call is served: `n` must be 1", "n")
+        raise InvalidCall("Only one choice a call is served: `n` must be 1", "n")
     for i, m in enumerate(shape.messages):
         if isinstance(m.content, list) and any(p.type != "text" for p in m.content):
-            raise Wrong("Only content parts of type `text` are served", f"messages[{i}].content")
+            raise InvalidCall("Only content parts of type `text` are served", f"messages[{i}].content")
     return Call(raw, shape)
 
 
-def prompt_tokens(texts, bytes_per_token):
+def estimate_prompt_tokens(texts, bytes_per_token):
     """An estimate of the prompt's length in tokens: bytes over a measured ratio, and four for each message's frame.
     The seam where a tokenizer comes in."""
     return max(1, round(sum(len(t.encode()) for t in texts) / bytes_per_token) + 4 * len(texts))
--- a/lapiswing/chat/events.py
+++ b/lapiswing/chat/events.py
@@ -5,11 +5,11 @@
 DONE = b"data: [DONE]\n\n"
 
 
-class TooLong(Exception):
+class EventTooLong(Exception):
     """An event that passes the bound: a box that never ends a line must not fill the memory."""
 
 
-def event(value):
+def encode_event(value):
     return b"data: " + orjson.dumps(value) + b"\n\n"
 
 
@@ -25,9 +25,9 @@
     return [p for v, p in zip(values, payloads) if v.get("choices")]
 
 
-class Events:
+class EventParser:
     """`feed(bytes)` -> the payloads of the events that are whole now; comments and empty events are passed over. Line
-    ends may be LF or CR LF (WHATWG HTML, section 9.2.6). Raises TooLong."""
+    ends may be LF or CR LF (WHATWG HTML, section 9.2.6). Raises EventTooLong."""
 
     def __init__(self, most):
         self.most, self.rest = most, b""
@@ -41,7 +41,7 @@
         blocks = data.split(b"\n\n")
         self.rest = blocks.pop()
         if len(self.rest) > self.most:
-            raise TooLong(f"an event of more than {self.most} bytes")
+            raise EventTooLong(f"an event of more than {self.most} bytes")
         out = []
         for block in blocks:
             if block[:6] == b"data: " and b"\n" not in block:
--- a/lapiswing/engine/forward.py
+++ b/lapiswing/engine/attempt.py
@@ -1,7 +1,7 @@
 """What every kind of forward shares: how it is held up, taken back and ended, for whichever protocol."""
 
 
-class Exchanged:
+class HttpAttempt:
     """A forward that is one exchange of the HTTP pool. It sets `exchange`, and what is to be told of its outcome."""
 
     over, exchange = False, None
--- a/lapiswing/engine/client.py
+++ b/lapiswing/engine/client.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from lapiswing.chat import Events, TooLong
-from lapiswing.engine.forward import Exchanged
+from lapiswing.chat import EventParser, EventTooLong
+from lapiswing.engine.attempt import HttpAttempt
 from lapiswing.engine.outcomes import REFUSAL, of_failure, of_status, report_of
 from lapiswing.http1.wire import get
 from lapiswing.loop import address_of
@@ -51,7 +51,7 @@
     return body
 
 
-class Forward(Exchanged):
+class Forward(HttpAttempt):
     """One forward that is out."""
 
     def __init__(self, owner, server, stage, event_bytes):
@@ -59,7 +59,7 @@
         self.server, self.stage = server, stage
         self.begun, self.ended, self.status = False, False, None
         self.body, self.size, self.held = [], 0, ([], [])
-        self.events = Events(event_bytes)
+        self.events = EventParser(event_bytes)
         self.params = self.cached = self.answer = None
         self.most = event_bytes
 
@@ -102,7 +102,7 @@
             if self.ended:
                 payloads.pop()
             self.pass_on(values, payloads)
-        except (TooLong, ValueError, TypeError, AttributeError, KeyError, IndexError):
+        except (EventTooLong, ValueError, TypeError, AttributeError, KeyError, IndexError):
             self.break_off("reset")
 
     def pass_on(self, values, payloads):
@@ -238,12 +238,12 @@
     def __init__(self, loop, pool, event_bytes):
         self.loop, self.pool, self.event_bytes, self.releasing = loop, pool, event_bytes, 0
 
-    by_req = False  # each forward's state has a name of its own
+    states_named_by_req = False  # each forward's state has a name of its own
 
-    def name(self, gateway, rid, number=None):
+    def state_name(self, gateway, rid, number=None):
         return (f"{gateway}.{rid}" if number is None else f"{gateway}.{rid}.{number}").encode()
 
-    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
+    def start_attempt(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
         """Sends `raw` (the client's call) as a read, a write of the state that `params` name, or, directly, both. `read_us`:
         how long the read of that state took; its writer weighs it against a move that goes badly."""
         forward = Forward(owner, server, stage, self.event_bytes)
@@ -260,7 +260,7 @@
     def release(self, server, name):
         Release(self, server, name)
 
-    def hold(self, server, name, tokens, done):
+    def hold_place(self, server, name, tokens, done):
         Ask(
             self,
             server,
--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -7,9 +7,9 @@
     on_begin()                 a stream starts; then
     on_events(values, payloads)    events of it, as values and as bytes
     on_done(answer)            final: done; the whole answer
-    on_box_answer(status, body)    final: done, with the box's word on a call that it found wrong
-    on_pushed_back(us)         final
-    on_aborted(why)            final, in a begun stream too
+    on_server_answer(status, body)    final: done, with the box's word on a call that it found wrong
+    on_rejected(us)         final
+    on_failed(why)            final, in a begun stream too
     full                       whether it wants no more for now
     look()                     hears at once whether its client has gone, and then calls `left`
 Exactly one of the final ones comes, written by `finish`, which can't run twice."""
@@ -79,18 +79,18 @@
 
 class Req:
     def __init__(self, number, spec, now_us):
-        self.number, self.spec, self.taken_us = number, spec, now_us
+        self.number, self.spec, self.accepted_us = number, spec, now_us
         self.rid = number if spec.rid is None else spec.rid
         self.raw, self.tokens, self.expires_us = spec.call.raw, spec.tokens, spec.expires_us
-        self.listeners, self.outs, self.sends, self.state = [], {}, 0, None
+        self.listeners, self.attempts, self.attempts_sent, self.state = [], {}, 0, None
         self.left = None  # a server where a state may be held that no answer named
-        self.begun, self.streaming, self.over, self.resumes = None, False, False, 0
+        self.answering_no, self.streaming, self.over, self.resumes = None, False, False, 0
         self.answer = Answer(spec.key is not None)
         self.paused = False
         self.first_us = self.backstop = None
-        self.held_us = None  # since when a state is held without a forward being out
+        self.held_since_us = None  # since when a state is held without a forward being out
         self.history = History()  # for the run-time checks
-        self.trail, self.part = [], 0  # for the log line; tokens written before the present part
+        self.attempt_history, self.part = [], 0  # for the log line; tokens written before the present part
 
 
 class Core:
@@ -100,13 +100,13 @@
         """`settings`: the checked message; `roles`: kind number -> read, write or both."""
         self.loop, self.engine, self.membership, self.repeats, self.lines = loop, engine, membership, repeats, log
         self.settings, self.limits, self.groups = settings, settings.limits, settings.group
-        self.facts = router_settings["groups"]
+        self.request_classes = router_settings["groups"]
         self.margin_us, self.load_memory = self.limits.margin_ms * MS, settings.mapping.load_memory
         self.roles, self.name = roles, name
         self.events, self.reqs, self.count, self.ended = [], {}, 0, []
         self.kinds = {}  # box -> kind, also of those that have left the list
         self.departed = set()  # servers that have left the list and are not forgotten yet
-        self.draining, self.on_idle, self.open, self.line_each = False, None, 0, True
+        self.draining, self.on_idle, self.open, self.log_each_req = False, None, 0, True
         self.counts = {
             "taken": 0,
             "done": 0,
@@ -126,13 +126,13 @@
         self.tally, self.caps, self.on_change = Tally(), Caps(), None
         self.round_us = self.rounds = 0
         grace_us = (router_settings.get("rules") or {}).get("stop_sending_within_us") or GRACE_US
-        self.guards = Guards(self.facts, grace_us, router_settings["limits"].get("second_copies", True), log)
+        self.guards = Guards(self.request_classes, grace_us, router_settings["limits"].get("second_copies", True), log)
         self.router = router(seed, router_settings, loop.clock.now_us())
         loop.after.append(self.turn)
 
     # ---- from fronts
 
-    def take(self, spec, listener):
+    def submit(self, spec, listener):
         """-> the Req, or None where `listener` was answered at once without one being taken."""
         now = self.loop.clock.now_us()
         if self.draining or self.open >= self.limits.open_reqs:
@@ -143,7 +143,7 @@
             self.tally.tenant(spec.tenant)["capped"] += 1
             return self.refuse(listener, stay_us)
         if spec.key is not None:
-            fact = self.facts[spec.group]
+            fact = self.request_classes[spec.group]
             wide = {"replayable": "always", "keyed": "boxes" if fact.repeat_scope == "all" else ""}.get(fact.effect, "")
             what, entry, latest = self.repeats.ask(now, spec.key, spec.fingerprint, fact.repeat_window_us, wide)
             if what == "full":
@@ -154,7 +154,7 @@
                 return None
             if what == "doubt":
                 self.counts["not taken"] += 1
-                listener.on_aborted("An earlier try with this key may have had its effect, and it can't be known.")
+                listener.on_failed("An earlier try with this key may have had its effect, and it can't be known.")
                 return None
             if what == "replay":
                 self.counts["replayed"] += 1
@@ -181,14 +181,14 @@
         tenant = self.tally.tenant(spec.tenant)
         tenant["taken"] += 1
         tenant["open"] += 1
-        self.ask(req, 2 if spec.key is not None and spec.entry.sent_us is not None else spec.bits)
+        self.enqueue(req, 2 if spec.key is not None and spec.entry.sent_us is not None else spec.bits)
         return req
 
-    def ask(self, req, bits):
+    def enqueue(self, req, bits):
         spec = req.spec
         # The module answers before this; the backstop guards the client against a fault in it. It could harm only
         # where the module would still have been in time, which the margin rules out.
-        req.backstop = self.loop.call_at(req.expires_us - self.margin_us // 3, self.too_late, req)
+        req.backstop = self.loop.call_at(req.expires_us - self.margin_us // 3, self.backstop_due, req)
         self.events.append(
             (
                 "req",
@@ -209,11 +209,11 @@
     def refuse(self, listener, stay_us=None):
         self.counts["not taken"] += 1
         most = self.limits.max_come_back_ms * MS
-        listener.on_pushed_back(most if stay_us is None else min(most, stay_us))
+        listener.on_rejected(most if stay_us is None else min(most, stay_us))
 
     def play(self, answer, listener):
         if isinstance(answer, tuple):
-            listener.on_box_answer(*answer)
+            listener.on_server_answer(*answer)
             return None
         listener.on_begin()
         for values, payloads in answer.events:
@@ -234,7 +234,7 @@
     def joiner_late(self, req, listener):
         if listener in req.listeners and not req.streaming and not req.over:
             req.listeners.remove(listener)
-            listener.on_aborted("The first try with this key still runs.")
+            listener.on_failed("The first try with this key still runs.")
             self.nobody_left(req)
 
     def left(self, req, listener):
@@ -252,10 +252,10 @@
         self.end(req, "left", None)
         self.events.append(("client_left", req.rid))
         # What was not sent yet is not sent any more, also where the settings let nothing that is out be taken back.
-        for number in [n for n, out in req.outs.items() if out.forward is not None and out.forward.unsent]:
+        for number in [n for n, out in req.attempts.items() if out.forward is not None and out.forward.unsent]:
             self.take_back(req, number, "moot")
-        if req.begun is not None:
-            self.take_back(req, req.begun, "cancelled")
+        if req.answering_no is not None:
+            self.take_back(req, req.answering_no, "cancelled")
 
     def drained(self, req):
         """A listener that was full takes again."""
@@ -264,7 +264,7 @@
     def flow(self, req):
         """Reads from the box only while some listener takes: a slow client slows its box, and memory stays bounded."""
         full = bool(req.listeners) and all(x.full for x in req.listeners)
-        out = req.outs.get(req.begun)
+        out = req.attempts.get(req.answering_no)
         if full != req.paused and out is not None and out.forward is not None:
             req.paused = full
             out.moved_us = self.loop.now
@@ -295,7 +295,7 @@
             self.forget_departed()
         if self.ended:
             for req in self.ended:
-                if not req.outs:
+                if not req.attempts:
                     self.release(req.rid)  # guards rule 5 against a module that forgot; mostly nothing is held
                     self.reqs.pop(req.rid, None)
             self.ended = [req for req in self.ended if req.rid in self.reqs]
@@ -311,12 +311,12 @@
             for listener in list(req.listeners):
                 listener.look()
         if req is None or req.over:
-            self.events.append(("outcome", rid, req.sends if req else 0, server, "moot", 0, True, None, None))
+            self.events.append(("outcome", rid, req.attempts_sent if req else 0, server, "moot", 0, True, None, None))
             if req:
-                req.sends += 1
+                req.attempts_sent += 1
             return
-        number, now = req.sends, self.loop.clock.now_us()
-        req.sends += 1
+        number, now = req.attempts_sent, self.loop.clock.now_us()
+        req.attempts_sent += 1
         if now >= req.expires_us:  # a process that was held up since the decisions read their clock
             self.events.append(("outcome", rid, number, server, "moot", 0, False, None, None))
             return
@@ -327,20 +327,20 @@
             self.events.append(("outcome", rid, number, server, "moot", 0, False, None, None))
             return
         self.guards.sent(req.history, number, place, stage != "read", now)
-        out = req.outs[number] = Out(server, stage, now)
+        out = req.attempts[number] = Out(server, stage, now)
         self.counts["forwards"] += 1
         self.tally.sent(server)
-        req.held_us = None
+        req.held_since_us = None
         spec = req.spec
         key = None
-        if stage != "read" and self.facts[spec.group].effect == "keyed":
+        if stage != "read" and self.request_classes[spec.group].effect == "keyed":
             # A call without a key gets one of its own, so that its further forwards are dropped as repeats.
             key = (spec.key or f"{self.name}.{req.number}").encode()
-        name = self.engine.name(self.name, req.rid, number)
+        name = self.engine.state_name(self.name, req.rid, number)
         params, read_us = (req.state[1], req.state[3]) if req.state else (None, None)
         # What can't run twice goes on a new connection: on a kept one that the box closes just now, nobody can tell
         # whether it ran.
-        fresh = stage != "read" and self.facts[spec.group].effect == "non-replayable"
+        fresh = stage != "read" and self.request_classes[spec.group].effect == "non-replayable"
         owner = AttemptListener(self, req, req.rid, number, out)
         out.timer = self.loop.call_at(
             min(now + timeout_us, req.expires_us - self.margin_us // 2), self.timed_out, req, req.rid, number
@@ -349,7 +349,7 @@
         def send():
             if spec.entry is not None and stage != "read":
                 self.repeats.sent(spec.entry, self.loop.clock.now_us())
-            out.forward = self.engine.forward(
+            out.forward = self.engine.start_attempt(
                 owner,
                 server,
                 stage,
@@ -394,33 +394,36 @@
         else:
             out.forward.over = True
             self.lines.error("not sent: it can't be put down", req=req.number, why=why)
-            self.outcome(req, rid, number, out, "moot", None, None)
+            self.attempt_ended(req, rid, number, out, "moot", None, None)
 
     def hold_place(self, rid, server):
         req = self.reqs.get(rid)
         if req is not None and not req.over:
-            number = max((n for n, o in req.outs.items() if o.stage == "read"), default=0)
-            self.engine.hold(
-                server, self.engine.name(self.name, rid), req.tokens, lambda held: self.place(req, rid, server, number, held)
+            number = max((n for n, o in req.attempts.items() if o.stage == "read"), default=0)
+            self.engine.hold_place(
+                server,
+                self.engine.state_name(self.name, rid),
+                req.tokens,
+                lambda held: self.place_answered(req, rid, server, number, held),
             )
 
-    def place(self, req, rid, server, number, held):
+    def place_answered(self, req, rid, server, number, held):
         """`held`: None where the server does not know."""
         if held is not None:
             self.events.append(("place", rid, server, number, held))
-        if held is not False and self.engine.by_req and req.rid == rid:
+        if held is not False and self.engine.states_named_by_req and req.rid == rid:
             req.left = server
             self.forget(req)
 
     def release(self, rid):
         req = self.reqs.get(rid)
-        if req is not None and self.engine.by_req and not req.over:
+        if req is not None and self.engine.states_named_by_req and not req.over:
             # It would reach its next read's state too, which has the same name; `turn` sends it once nothing is out.
             if req.state is not None:
                 req.left, req.state = req.state[0], None
             return
-        if req is not None and (req.state is not None or req.left is not None and not req.outs):
-            server, name = (req.state[0], req.state[2]) if req.state else (req.left, self.engine.name(self.name, rid))
+        if req is not None and (req.state is not None or req.left is not None and not req.attempts):
+            server, name = (req.state[0], req.state[2]) if req.state else (req.left, self.engine.state_name(self.name, rid))
             self.engine.release(server, name)
             req.state = req.left = None
             self.forget(req)
@@ -428,20 +431,20 @@
     def release_unclaimed(self, rid):
         """Where servers drop by the request's name, and then only what no attempt waits for there."""
         req = self.reqs.get(rid)
-        if req is not None and req.state is not None and self.engine.by_req:
+        if req is not None and req.state is not None and self.engine.states_named_by_req:
             self.engine.release(req.state[0], req.state[2])
 
     def retract(self, rid, number):
         req = self.reqs.get(rid)
-        if req is not None and number != req.begun:
+        if req is not None and number != req.answering_no:
             self.take_back(req, number, "cancelled")
 
     def move(self, rid):
         req = self.reqs.get(rid)
-        if req is not None and req.begun is not None:
-            out = req.outs[req.begun]
+        if req is not None and req.answering_no is not None:
+            out = req.attempts[req.answering_no]
             out.forward.cancel()
-            self.outcome(req, rid, req.begun, out, "cancelled", None, None)
+            self.attempt_ended(req, rid, req.answering_no, out, "cancelled", None, None)
 
     def push_back(self, rid, come_back_us):
         req = self.reqs.get(rid)
@@ -494,10 +497,10 @@
     def on_first(self, req, rid, number, out):
         if req.rid != rid:
             return out.forward.cancel()
-        if req.over or req.begun is not None:
+        if req.over or req.answering_no is not None:
             return self.take_back(req, number, "cancelled")  # another one was first
         now = self.loop.clock.now_us()
-        req.begun, out.moved_us = number, now
+        req.answering_no, out.moved_us = number, now
         out.timer.cancel()
         group = self.groups[req.spec.group]
         out.timer = self.loop.call_later(group.stream_idle_ms * MS, self.look_idle, req, rid, number)
@@ -505,14 +508,14 @@
         if out.stage != "write" and req.state is not None:
             req.left = req.state[0]
         req.state = None  # its writer has fetched it
-        req.trail.append(f"{out.stage} {out.server} first {(now - out.sent_us) // MS}")
+        req.attempt_history.append(f"{out.stage} {out.server} first {(now - out.sent_us) // MS}")
         self.tally.began(out.server, now - out.sent_us)
         self.events.append(("first", rid, out.server, now - out.sent_us, number))
-        for other in [n for n in req.outs if n != number]:
+        for other in [n for n in req.attempts if n != number]:
             self.take_back(req, other, "cancelled")
         if not req.streaming:
             req.streaming, req.first_us = True, now
-            self.tally.first.add(now - req.taken_us)
+            self.tally.first_token.add(now - req.accepted_us)
             for listener in list(req.listeners):
                 listener.on_begin()
 
@@ -534,12 +537,12 @@
             self.flow(req)
 
     def timed_out(self, req, rid, number):
-        if req.rid == rid and number != req.begun:
+        if req.rid == rid and number != req.answering_no:
             self.take_back(req, number, "timed_out")
 
     def look_idle(self, req, rid, number):
         """A begun stream that brings nothing is broken, unless its own client holds it up."""
-        out = req.outs.get(number) if req.rid == rid else None
+        out = req.attempts.get(number) if req.rid == rid else None
         if out is None:
             return
         idle_us = self.groups[req.spec.group].stream_idle_ms * MS
@@ -549,33 +552,33 @@
         out.timer = self.loop.call_later(idle_us - quiet, self.look_idle, req, rid, number)
 
     def take_back(self, req, number, code):
-        out = req.outs.get(number)
+        out = req.attempts.get(number)
         if out is not None:
             out.forward.cancel()
-            self.outcome(req, req.rid, number, out, code, None, out.forward.report)
+            self.attempt_ended(req, req.rid, number, out, code, None, out.forward.report)
 
-    def outcome(self, req, rid, number, out, code, remark, report):
+    def attempt_ended(self, req, rid, number, out, code, remark, report):
         """The one place where a forward ends."""
-        if req.rid != rid or req.outs.pop(number, None) is None:
+        if req.rid != rid or req.attempts.pop(number, None) is None:
             return
         out.timer.cancel()
         self.guards.ended(req.history, number, code)
         now = self.loop.clock.now_us()
-        forward, begun = out.forward, number == req.begun
+        forward, begun = out.forward, number == req.answering_no
         latency = now - out.sent_us
-        req.trail.append(f"{out.stage} {out.server} {code} {latency // MS}")
+        req.attempt_history.append(f"{out.stage} {out.server} {code} {latency // MS}")
         self.tally.came(out.server, out.stage, code, latency, report)
         if code == "read":
             # How long it would take again: a read that found most of its text kept does not tell.
             fresh = req.tokens - (forward.cached or 0)
             again_us = latency * req.tokens // fresh if fresh * 4 > req.tokens else None
             req.state = (out.server, forward.params, forward.name, again_us)
-        if req.state is not None and not req.outs:
-            req.held_us = now
+        if req.state is not None and not req.attempts:
+            req.held_since_us = now
         elif out.stage == "read" and code not in NEVER_RAN:
             # It may have left a state behind that nobody will name again. Where states have their req's name a release
             # drops all of them, so it waits until nothing of the req is out.
-            if self.engine.by_req:
+            if self.engine.states_named_by_req:
                 req.left = out.server
             else:
                 self.engine.release(out.server, forward.name)
@@ -587,7 +590,7 @@
             report = {**report, "held": report[self.load_memory]}
         self.events.append(("outcome", rid, number, out.server, code, latency, ended, remark, report))
         if report is not None and "draining" in report:
-            self.tell_members(self.membership.said(out.server, report["draining"] > 0))
+            self.apply_membership(self.membership.said(out.server, report["draining"] > 0))
         if req.over:
             self.forget(req)
         elif code == "done":
@@ -600,12 +603,12 @@
         """A begun stream broke; its req is over for the module. The rest goes on as a new one, or it is aborted."""
         group = self.groups[req.spec.group]
         if not self.draining and resume.may_go_on(
-            self.facts[req.spec.group], group.resume, req.resumes, self.limits.resumes, req.answer.assembler
+            self.request_classes[req.spec.group], group.resume, req.resumes, self.limits.resumes, req.answer.assembler
         ):
             self.reqs.pop(req.rid)
             self.count += 1
             self.counts["resumed"] += 1
-            req.rid, req.resumes, req.begun, req.sends, req.state, req.paused = (
+            req.rid, req.resumes, req.answering_no, req.attempts_sent, req.state, req.paused = (
                 self.count,
                 req.resumes + 1,
                 None,
@@ -619,16 +622,16 @@
             req.tokens = req.spec.tokens + req.part
             req.expires_us = self.loop.clock.now_us() + group.deadline_ms * MS
             self.reqs[req.rid] = req
-            self.ask(req, 16)
+            self.enqueue(req, 16)
         else:
             self.finish(req, "aborted", f"The stream from the model server broke off ({code}).")
 
-    def too_late(self, req):
-        if not req.over and req.begun is None:
+    def backstop_due(self, req):
+        if not req.over and req.answering_no is None:
             self.turn()  # what came up in this very turn is for the decisions first: they may answer better
-        if not req.over and req.begun is None:
+        if not req.over and req.answering_no is None:
             self.counts["backstop"] += 1
-            self.lines.error("backstop", req=req.number, trail=req.trail)
+            self.lines.error("backstop", req=req.number, trail=req.attempt_history)
             rid = req.rid
             self.finish(req, "aborted", "No answer in time.")
             self.events.append(("client_left", rid))
@@ -644,11 +647,11 @@
             if how == "done" and what is None:
                 listener.on_done(req.answer)
             elif how == "done":
-                listener.on_box_answer(*what)
+                listener.on_server_answer(*what)
             elif how == "pushed back" and not req.streaming:
-                listener.on_pushed_back(what)
+                listener.on_rejected(what)
             else:
-                listener.on_aborted(what)
+                listener.on_failed(what)
 
     def end(self, req, how, what):
         if req.over:
@@ -675,24 +678,24 @@
                     self.repeats.doubted(entry, now)
                 self.memory.ended(entry, "doubt" if entry.state == "doubted" else "free", None)
         spec = req.spec
-        if self.line_each:
+        if self.log_each_req:
             self.lines.info(
                 "req",
                 req=req.number,
                 end=how,
-                group=self.facts[spec.group].name,
+                group=self.request_classes[spec.group].name,
                 tenant=spec.tenant,
                 prompt=spec.tokens,
                 tokens=req.answer.assembler.tokens,
-                first_ms=(req.first_us - req.taken_us) // MS if req.first_us else None,
-                ms=(now - req.taken_us) // MS,
-                forwards=len([t for t in req.trail if " first " not in t]),
+                first_ms=(req.first_us - req.accepted_us) // MS if req.first_us else None,
+                ms=(now - req.accepted_us) // MS,
+                forwards=len([t for t in req.attempt_history if " first " not in t]),
                 resumes=req.resumes or None,
-                trail="; ".join(req.trail),
+                trail="; ".join(req.attempt_history),
                 why=what if isinstance(what, str) else None,
             )
         self.ended.append(req)
-        for number in [n for n in req.outs if n != req.begun]:
+        for number in [n for n in req.attempts if n != req.answering_no]:
             if how != "left":  # then the module takes back what it wants taken back
                 self.take_back(req, number, "cancelled")
         return True
@@ -703,12 +706,12 @@
 
     # ---- membership
 
-    def tell_members(self, news):
+    def apply_membership(self, news):
         if news is None:
             return
         for row in news[2]:
             self.kinds[row.id] = row.kind
-            self.tally.box(row.id).listed(row.started_us)
+            self.tally.server(row.id).listed(row.started_us)
             self.changed("box", box=row.id, mode=row.mode, why=self.membership.why(row.id))
         self.events.append(news)
         now = self.loop.clock.now_us()
@@ -731,37 +734,37 @@
         they have not begun, and would begin after the grace. Could harm nothing: each is proved never to have run."""
         told = self.membership.told
         for req in list(self.reqs.values()):
-            for number, out in list(req.outs.items()):
+            for number, out in list(req.attempts.items()):
                 row = told.get(out.server)
                 if (row is None or row.mode != "ready") and out.forward is not None and out.forward.unsent:
                     self.take_back(req, number, "full")
 
-    def stuck(self, on):
+    def report_own_trouble(self, on):
         """This machine can open no connection, or can again: the decisions hear of it."""
         self.events.append(("own_trouble", on))
 
     def forget_departed(self):
         """Drops what is kept of servers that have left, the others once their attempts have ended. Only once the decisions
         have heard of it: an event before the news may still choose one of them."""
-        for server in [server for server in self.departed if not self.tally.box(server).out]:
+        for server in [server for server in self.departed if not self.tally.server(server).open_attempts]:
             self.departed.remove(server)
             self.guards.off_us.pop(server, None)
-            del self.kinds[server], self.tally.boxes[server]
+            del self.kinds[server], self.tally.servers[server]
 
-    def list_boxes(self, rows):
-        self.tell_members(self.membership.list(rows, self.loop.clock.now_us()))
+    def update_servers(self, rows):
+        self.apply_membership(self.membership.list(rows, self.loop.clock.now_us()))
 
     def records(self, source, rows):
         """All that a source of records names now."""
         doubts = self.membership.doubts()
-        self.tell_members(self.membership.records(source, rows, self.loop.clock.now_us()))
+        self.apply_membership(self.membership.records(source, rows, self.loop.clock.now_us()))
         for name in self.membership.doubts():
             if name not in doubts:
                 self.lines.warning("records doubted", source=name, named=len(rows))
                 self.changed("gateway", text=f"{name} lost most of its boxes at once and is doubted for now")
 
     def look_at_members(self):
-        self.tell_members(self.membership.tick(self.loop.clock.now_us()))
+        self.apply_membership(self.membership.tick(self.loop.clock.now_us()))
 
     def ask_drained(self):
         """Boxes that said themselves that they drain: has that ended?"""
@@ -769,7 +772,7 @@
             self.engine.probe(
                 server,
                 lambda code, report, server=server: (
-                    self.tell_members(self.membership.said(server, (report or {}).get("draining", 1.0) > 0))
+                    self.apply_membership(self.membership.said(server, (report or {}).get("draining", 1.0) > 0))
                     if code == "done"
                     else None
                 ),
@@ -789,8 +792,8 @@
             if not req.over:
                 rid = req.rid
                 self.finish(req, "aborted", "The gateway stops.")
-                if req.begun is not None:
-                    self.take_back(req, req.begun, "cancelled")
+                if req.answering_no is not None:
+                    self.take_back(req, req.answering_no, "cancelled")
                 self.events.append(("client_left", rid))
         self.turn()
         if self.on_idle:
@@ -830,4 +833,4 @@
         self.core.on_events(self.req, self.rid, self.number, self.out, values, payloads)
 
     def on_outcome(self, forward, code, remark, report):
-        self.core.outcome(self.req, self.rid, self.number, self.out, code, remark, report)
+        self.core.attempt_ended(self.req, self.rid, self.number, self.out, code, remark, report)
--- a/lapiswing/gateway/fronts/chat.py
+++ b/lapiswing/gateway/fronts/chat.py
@@ -2,10 +2,10 @@
 
 import time
 
-from lapiswing.chat import DONE, Wrong, error_body, event, joined, parse_call, without_usage
+from lapiswing.chat import DONE, InvalidCall, encode_event, error_body, joined, parse_call, without_usage
 from lapiswing.chat.errors import aborted, pushed_back
 from lapiswing.gateway.fronts.listener import Listener
-from lapiswing.gateway.fronts.mapping import Unknown
+from lapiswing.gateway.fronts.mapping import UnknownApiKey
 
 SSE = [(b"content-type", b"text/event-stream; charset=utf-8"), (b"cache-control", b"no-store"), (b"x-accel-buffering", b"no")]
 NO_RETRY = (b"x-should-retry", b"false")
@@ -42,7 +42,7 @@
     def tenant(self, exchange):
         try:
             return self.mapper.tenant(exchange.header(b"authorization"))
-        except Unknown:
+        except UnknownApiKey:
             exchange.respond(
                 401,
                 error_body("Incorrect API key provided.", "invalid_request_error", "invalid_api_key"),
@@ -68,11 +68,11 @@
         try:
             call = parse_call(exchange.body)
             spec = self.mapper.spec(call, tenant, exchange.header, self.core.loop.clock.now_us())
-        except Wrong as problem:
+        except InvalidCall as problem:
             found = problem.param != "model" or "does not exist" not in str(problem)
             return self.wrong(exchange, 400 if found else 404, str(problem), problem.param, None if found else "model_not_found")
         listener = (Streamed if call.stream else Whole)(exchange, call)
-        listener.follow(self.core, self.core.take(spec, listener))
+        listener.attach(self.core, self.core.submit(spec, listener))
 
 
 class ResponseWriter(Listener):
@@ -94,15 +94,15 @@
             more=[NO_RETRY],
         )
 
-    def on_pushed_back(self, come_back_us):
+    def on_rejected(self, come_back_us):
         status, fields, body = pushed_back(come_back_us)
         self.exchange.respond(status, body, more=fields)
 
-    def on_aborted(self, why):
+    def on_failed(self, why):
         status, fields, body = aborted(why)
         self.exchange.respond(status, body, more=fields)
 
-    def on_box_answer(self, status, body):
+    def on_server_answer(self, status, body):
         self.exchange.respond(status, body, more=[NO_RETRY])
 
 
@@ -133,17 +133,19 @@
         self.exchange.send(DONE)
         self.exchange.end()
 
-    def on_aborted(self, why):
+    def on_failed(self, why):
         if not self.exchange.begun:
-            return super().on_aborted(why)
+            return super().on_failed(why)
         status, _, _ = aborted()
         self.exchange.send(
-            event({"error": {"message": why or "The call failed.", "type": "server_error", "param": None, "code": "aborted"}})
+            encode_event(
+                {"error": {"message": why or "The call failed.", "type": "server_error", "param": None, "code": "aborted"}}
+            )
         )
         self.exchange.keep = False
         self.exchange.end()
 
-    def on_box_answer(self, status, body):
+    def on_server_answer(self, status, body):
         if not self.exchange.begun:
-            return super().on_box_answer(status, body)
-        self.on_aborted("The model server did not go on with the stream.")
+            return super().on_server_answer(status, body)
+        self.on_failed("The model server did not go on with the stream.")
--- a/lapiswing/gateway/fronts/listener.py
+++ b/lapiswing/gateway/fronts/listener.py
@@ -5,7 +5,7 @@
     def __init__(self, exchange):
         self.exchange, self.core, self.req = exchange, None, None
 
-    def follow(self, core, req):
+    def attach(self, core, req):
         self.core, self.req = core, req
         if req is not None and not self.exchange.over:
             self.exchange.on_left = self.left
--- a/lapiswing/gateway/fronts/mapping.py
+++ b/lapiswing/gateway/fronts/mapping.py
@@ -2,7 +2,7 @@
 
 import hashlib
 
-from lapiswing.chat import Wrong, prompt_tokens
+from lapiswing.chat import InvalidCall, estimate_prompt_tokens
 from lapiswing.gateway.core import Spec
 
 MS = 1000
@@ -10,7 +10,7 @@
 KEY_BYTES = 255
 
 
-class Unknown(Exception):
+class UnknownApiKey(Exception):
     """No such API key."""
 
 
@@ -35,40 +35,40 @@
         return sorted({m for g in self.settings.group for m in g.model}) or ["default"]
 
     def tenant(self, authorization):
-        """-> tenant number. Raises Unknown. A gateway without tenants asks for no key."""
+        """-> tenant number. Raises UnknownApiKey. A gateway without tenants asks for no key."""
         if not self.tenants:
             return 0
         scheme, _, key = (authorization or b"").partition(b" ")
         tenant = self.tenants.get(key.strip()) if scheme.lower() == b"bearer" else None
         if tenant is None:
-            raise Unknown
+            raise UnknownApiKey
         return tenant
 
     def group(self, call, header):
         named = header(self.group_header)
         if named is not None:
             if named not in self.by_header:
-                raise Wrong(f"No endpoint group `{named.decode('latin-1')}`", None)
+                raise InvalidCall(f"No endpoint group `{named.decode('latin-1')}`", None)
             return self.by_header[named]
         group = self.by_model.get(call.model, self.rest)
         if group is None:
-            raise Wrong(f"The model `{call.model}` does not exist", "model")
+            raise InvalidCall(f"The model `{call.model}` does not exist", "model")
         return group
 
     def spec(self, call, tenant, header, now_us):
-        """`header(name)` -> bytes or None. Raises Wrong."""
+        """`header(name)` -> bytes or None. Raises InvalidCall."""
         group = self.group(call, header)
         g = self.settings.group[group]
         deadline_ms = g.deadline_ms
         asked = header(self.deadline_header)
         if asked is not None:
             if not asked.isdigit() or not 0 < int(asked) <= MOST_DEADLINE_MS:
-                raise Wrong(f"{self.deadline_header.decode()} must be whole milliseconds", None)
+                raise InvalidCall(f"{self.deadline_header.decode()} must be whole milliseconds", None)
             deadline_ms = min(deadline_ms, int(asked))
         key = header(b"idempotency-key")
         if key is not None:
             if not key or len(key) > KEY_BYTES:
-                raise Wrong(f"Idempotency-Key must have 1 to {KEY_BYTES} characters", None)
+                raise InvalidCall(f"Idempotency-Key must have 1 to {KEY_BYTES} characters", None)
             key = f"{tenant}/{group}/{key.decode('latin-1')}"
         lead = call.texts[: self.prefix_messages] if len(call.texts) > self.prefix_messages else []
         session = header(self.session_header)
@@ -84,11 +84,11 @@
             group,
             tenant,
             call,
-            prompt_tokens(call.texts, self.bytes_per_token),
+            estimate_prompt_tokens(call.texts, self.bytes_per_token),
             now_us + deadline_ms * MS,
             session,
             digest(lead) if lead else None,
-            prompt_tokens(lead, self.bytes_per_token) if lead else 0,
+            estimate_prompt_tokens(lead, self.bytes_per_token) if lead else 0,
             call.max_tokens or self.default_max,
             key,
             hashlib.blake2b(repr(sorted(asked_for.items())).encode("utf-8", "surrogatepass"), digest_size=16).digest()
--- a/lapiswing/gateway/fronts/websocket.py
+++ b/lapiswing/gateway/fronts/websocket.py
@@ -16,10 +16,10 @@
 from wsproto.utilities import LocalProtocolError
 from wsproto.utilities import RemoteProtocolError as Rejected
 
-from lapiswing.chat import Wrong, error_body, without_usage
+from lapiswing.chat import InvalidCall, error_body, without_usage
 from lapiswing.chat.call import call_of
 from lapiswing.chat.errors import aborted, pushed_back
-from lapiswing.gateway.fronts.mapping import Unknown
+from lapiswing.gateway.fronts.mapping import UnknownApiKey
 from lapiswing.http1.wire import tokens
 from lapiswing.sessions import Book, Limits, Tokens
 from lapiswing.settings import settings_pb2 as pb
@@ -91,7 +91,7 @@
             )
         try:
             tenant = self.mapper.tenant(exchange.header(b"authorization"))
-        except Unknown:
+        except UnknownApiKey:
             return refuse(401, "Incorrect API key provided.", "invalid_api_key")
         if self.draining and not self.unfinished():
             status, fields, body = pushed_back(self.book.limits.come_back_us)
@@ -148,7 +148,7 @@
             return
         req, listener = stream.req, stream.listener
         self.book.cut(session, stream)
-        listener.on_aborted(why)
+        listener.on_failed(why)
         if req is not None:
             self.core.left(req, listener)
 
@@ -438,9 +438,9 @@
             listener.whole = not call.stream
             listener.usage = call.include_usage
             spec = self.front.mapper.spec(call, self.tenant, headers.get, self.loop.clock.now_us())
-        except Wrong as problem:
+        except InvalidCall as problem:
             return listener.on_wrong(400, orjson.loads(error_body(str(problem), "invalid_request_error", None, problem.param)))
-        stream.req = self.front.core.take(spec, listener)
+        stream.req = self.front.core.submit(spec, listener)
         return None
 
     def cancel(self, message):
@@ -496,7 +496,7 @@
     def on_done(self, answer):
         self.final("done", 200, {"completion": answer.assembler.completion()} if self.whole else {})
 
-    def on_box_answer(self, status, body):
+    def on_server_answer(self, status, body):
         try:
             self.on_wrong(status, orjson.loads(body))
         except orjson.JSONDecodeError:
@@ -518,10 +518,10 @@
             },
         )
 
-    def on_pushed_back(self, come_back_us):
+    def on_rejected(self, come_back_us):
         status, _, body = pushed_back(come_back_us)
         self.final("pushed_back", status, {"retry_after_ms": -(-come_back_us // MS), **orjson.loads(body)})
 
-    def on_aborted(self, why):
+    def on_failed(self, why):
         status, _, body = aborted(why)
         self.final("aborted", status, orjson.loads(body))
--- a/lapiswing/gateway/guards.py
+++ b/lapiswing/gateway/guards.py
@@ -41,7 +41,7 @@
         """`facts`: the request classes; `grace_us`: how long a drained server may be sent something new."""
         self.facts, self.grace_us, self.second_copies, self.log = facts, grace_us, second_copies, log
         self.counts = {check: 0 for check in Check}
-        self.only_counts = False  # for a lab whose own judge has to see what goes wrong
+        self.count_only = False  # for a lab whose own judge has to see what goes wrong
         self.off_us = {}  # server -> since when the list says that it drains or is gone
 
     def listed(self, rows, now_us):
@@ -58,10 +58,10 @@
             self.off_us.setdefault(server, now_us)
 
     def may_send(self, call, history, group, server, place, has_effect, now_us):
-        """Whether the attempt may be sent: `call` has `over`, `begun` and `expires_us`; `place`: zone and cell of the server."""
+        """Whether the attempt may be sent: `call` has `over`, `answering_no` and `expires_us`; `place`: zone and cell of the server."""
         if now_us - self.off_us.get(server, now_us) > self.grace_us:
             return self.stop(Check.SENDING, call, server)
-        if call.over or call.begun is not None or now_us >= call.expires_us:
+        if call.over or call.answering_no is not None or now_us >= call.expires_us:
             return self.stop(Check.STARTING, call, server)
         if history.out and not self.second_copies:
             return self.stop(Check.REPEATING, call, server)
@@ -89,7 +89,7 @@
         if code in NEVER_RAN:
             history.ran = [ran for ran in history.ran if ran.number != number]
 
-    def closed(self, calls):
+    def check_closed(self, calls):
         """The host ends: no call may be open."""
         for call in calls:
             if not call.over:
@@ -99,7 +99,7 @@
         """Counts and logs. -> whether the attempt goes on all the same."""
         self.counts[check] += 1
         self.log.error("guard", check=check.name.lower(), why=check.value, call=call.rid, server=server)
-        return self.only_counts
+        return self.count_only
 
     @property
     def total(self):
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -23,8 +23,8 @@
 from lapiswing.membership.merge import Limits as MemberLimits
 from lapiswing.policy import Router
 from lapiswing.settings import SettingsError, load_boxes, router_settings
-from lapiswing.settings.settings_pb2 import GO_ON
 from lapiswing.settings.load import ROLES, Names, boxes_of, row_of_found
+from lapiswing.settings.settings_pb2 import GO_ON
 from lapiswing.state import Memory
 from lapiswing.store import Engine as Store
 from lapiswing.store import Files, StoreError, Worker
@@ -114,7 +114,7 @@
             self.remember()
         self.read_boxes()
         if self.stamp is None and not self.core.membership.told:
-            self.core.list_boxes(self.rows(self.settings.box))
+            self.core.update_servers(self.rows(self.settings.box))
         if self.settings.dns.service or self.settings.dns.srv:
             self.discover()
         self.core.turn()
@@ -213,7 +213,7 @@
             return self.log.warning("learnt figures", start="fresh", why=f"can't be used: {problem}")
         self.log.info("learnt figures", said=said)
 
-    def put_learnt(self):
+    def save_learned_state(self):
         if self.store is None or not hasattr(self.core.router, "learnt"):
             return
         figures = self.core.router.learnt()
@@ -230,7 +230,7 @@
         self.loop.call_later(CHORES_US, self.chores)
         self.chores_done += 1
         if self.chores_done % LEARNT_EVERY == 0:
-            self.put_learnt()
+            self.save_learned_state()
         names = {row["name"] for row in self.tasks.rows()}
         if self.store.wants_compaction() and "compaction" not in names:
             self.tasks.add("compaction", self.store.compact(), priority=7, share=0.1)
@@ -261,7 +261,7 @@
                 self.log.error("boxes file can't be read; the last list stands", why=str(problem))
             return
         self.stamp, self.list_fault = stamp, None
-        self.core.list_boxes(self.rows([*self.settings.box, *boxes]))
+        self.core.update_servers(self.rows([*self.settings.box, *boxes]))
 
     def ask(self):
         self.loop.call_later(1000 * MS, self.ask)
@@ -280,7 +280,7 @@
         self.drain()
 
     def drain(self):
-        self.put_learnt()
+        self.save_learned_state()
         if self.fleet is not None:
             self.fleet.close()
         self.core.changed("gateway", text="draining")
--- a/lapiswing/gateway/tally.py
+++ b/lapiswing/gateway/tally.py
@@ -18,7 +18,7 @@
     def halve(self):
         self.bins = [b / 2 if b > 0.1 else 0.0 for b in self.bins]
 
-    def at(self, part):
+    def quantile_ms(self, part):
         """The step in ms under which `part` of the values lie; None where there are none."""
         total, seen = sum(self.bins), 0.0
         if total < 0.5:
@@ -30,11 +30,11 @@
         return STEPS_MS[-1]
 
 
-class BoxTally:
-    __slots__ = ("codes", "out", "first_us", "read_us", "fail_us", "report", "starts", "last", "started_us")
+class ServerTally:
+    __slots__ = ("codes", "open_attempts", "first_us", "read_us", "fail_us", "report", "starts", "last_code", "started_us")
 
     def __init__(self):
-        self.codes, self.out, self.report, self.starts, self.last = {}, 0, {}, 0, None
+        self.codes, self.open_attempts, self.report, self.starts, self.last_code = {}, 0, {}, 0, None
         self.first_us = self.read_us = self.fail_us = None  # usual times, lately
         self.started_us = None
 
@@ -49,12 +49,12 @@
 
 class Tally:
     def __init__(self):
-        self.boxes, self.tenants, self.first = {}, {}, Latency()
+        self.servers, self.tenants, self.first_token = {}, {}, Latency()
 
-    def box(self, server):
-        found = self.boxes.get(server)
+    def server(self, server):
+        found = self.servers.get(server)
         if found is None:
-            found = self.boxes[server] = BoxTally()
+            found = self.servers[server] = ServerTally()
         return found
 
     def tenant(self, tenant):
@@ -73,13 +73,13 @@
         return found
 
     def sent(self, server):
-        self.box(server).out += 1
+        self.server(server).open_attempts += 1
 
     def came(self, server, stage, code, latency_us, report):
-        box = self.box(server)
-        box.out -= 1
+        box = self.server(server)
+        box.open_attempts -= 1
         box.codes[code] = box.codes.get(code, 0) + 1
-        box.last = code
+        box.last_code = code
         if report:
             box.report = report
         if code == "read":
@@ -88,5 +88,5 @@
             box.fail_us = usual(box.fail_us, latency_us)
 
     def began(self, server, latency_us):
-        box = self.box(server)
+        box = self.server(server)
         box.first_us = usual(box.first_us, latency_us)
--- a/lapiswing/lab/clients.py
+++ b/lapiswing/lab/clients.py
@@ -6,8 +6,8 @@
 from wsproto.events import AcceptConnection, CloseConnection, Ping, RejectConnection, Request, TextMessage
 from wsproto.utilities import LocalProtocolError, RemoteProtocolError
 
-from lapiswing.chat import Events
-from lapiswing.chat.call import Message, text_of
+from lapiswing.chat import EventParser
+from lapiswing.chat.call import Message, message_text
 from lapiswing.http1.wire import get
 from lapiswing.loop import connect
 from lapiswing.standin.box import answer_to
@@ -149,7 +149,7 @@
             self.timer.cancel()
         fits = None
         if how == "done":
-            texts = [text_of(Message(role=r, content=c)) for r, c in self.plan.texts]
+            texts = [message_text(Message(role=r, content=c)) for r, c in self.plan.texts]
             fits = "".join(self.text) == answer_to(texts, self.plan.tokens)
         self.put(
             "final",
@@ -166,7 +166,7 @@
 class HttpTry(Try):
     def __init__(self, client):
         super().__init__(client)
-        self.events, self.parts = Events(1 << 20), []
+        self.events, self.parts = EventParser(1 << 20), []
         fields = [
             (b"authorization", b"Bearer " + self.plan.tenant.encode()),
             (b"content-type", b"application/json"),
--- a/lapiswing/lab/gateway.py
+++ b/lapiswing/lab/gateway.py
@@ -15,7 +15,7 @@
     gateway = Gateway(
         settings, start_logs(settings.log.level, settings.log.format), base=str(Path(sys.argv[2]).parent), router=router
     )
-    gateway.core.guards.only_counts = True  # the auditor has to see what the double does
+    gateway.core.guards.count_only = True  # the auditor has to see what the double does
     if getattr(router, "without_backstop", False):
-        gateway.core.too_late = lambda req: None
+        gateway.core.backstop_due = lambda req: None
     run_gateway(gateway)
--- a/lapiswing/node/front.py
+++ b/lapiswing/node/front.py
@@ -97,7 +97,7 @@
             exchange.keep = False  # what stands behind it is not read: it may be hundreds more of its kind
             return exchange.json(problem.status, {"error": {"message": str(problem)}})
         listener = ResponseWriter(exchange)
-        listener.follow(self.core, self.core.take(spec, listener))
+        listener.attach(self.core, self.core.submit(spec, listener))
 
     def spec(self, exchange):
         fields = exchange.fields
@@ -153,16 +153,16 @@
     def on_done(self, answer):
         self.exchange.end()
 
-    def on_box_answer(self, status, body):
+    def on_server_answer(self, status, body):
         if self.exchange.begun:
             return self.exchange.abort()
         self.exchange.respond(status, body)
 
-    def on_pushed_back(self, come_back_us):
+    def on_rejected(self, come_back_us):
         more = [(RETRY_AFTER, b"%.3f" % (come_back_us / 1e6))] if come_back_us else []
         self.exchange.respond(503, b"", b"text/plain", more=more)
 
-    def on_aborted(self, why):
+    def on_failed(self, why):
         if self.exchange.begun:
             return self.exchange.abort()  # without the last chunk, so that it is seen to be cut
         self.exchange.respond(502, b"", b"text/plain")
--- a/lapiswing/node/serve.py
+++ b/lapiswing/node/serve.py
@@ -143,8 +143,8 @@
             self.log,
             router,
         )
-        self.core.line_each = False
-        self.pool.stuck.on_change = self.core.stuck
+        self.core.log_each_req = False
+        self.pool.stuck.on_change = self.core.report_own_trouble
         self.rows = Rows(settings["kinds"], settings["zones"], ServerStarts(wall_clock.offset_us(self.loop.clock)))
         tenants = [str(tenant.get("name")) for tenant in settings.get("tenants") or []]
         self.front = Front(self.core, settings["groups"], tenants, lambda: bool(self.rows.rows) and not self.stopping)
@@ -237,7 +237,7 @@
 
     def on_rows(self):
         self.servers.listed(self.rows.addresses, {name: row.zone for name, row in self.rows.rows.items()})
-        self.core.list_boxes(list(self.rows.rows.values()))
+        self.core.update_servers(list(self.rows.rows.values()))
 
     # ---- signals
 
@@ -307,7 +307,7 @@
         ):
             return self.loop.call_later(20 * MS, self.finish)
         self.server.drain()
-        self.core.guards.closed(self.core.reqs.values())
+        self.core.guards.check_closed(self.core.reqs.values())
         self.log.info(
             "stopped",
             guards=self.core.guards.total,
--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from lapiswing.engine.forward import Exchanged
+from lapiswing.engine.attempt import HttpAttempt
 from lapiswing.http1.wire import get
 from lapiswing.node import reach
 from lapiswing.node.names import DEADLINE, DECLINED, HEALTHY, ID, IDEMPOTENCY_KEY, LOAD, LOAD_LINE, LOADED, ROOMS
@@ -35,7 +35,7 @@
         return self
 
 
-class Forward(Exchanged):
+class Forward(HttpAttempt):
     """One forward that is out."""
 
     def __init__(self, servers, owner, server, name):
@@ -263,7 +263,7 @@
 
 
 class Servers:
-    by_req = True  # what is held has its req's name
+    states_named_by_req = True  # what is held has its req's name
 
     def __init__(self, loop, pool, load_names, reports, whom, let_go_us=None):
         """`whom`: a Reach. `let_go_us`: the time there is to let go of what is held."""
@@ -282,10 +282,10 @@
     def silent(self, server):
         self.reach.silent(server, self.loop.clock.now_us())
 
-    def name(self, gateway, rid, number=None):
+    def state_name(self, gateway, rid, number=None):
         return rid.encode()
 
-    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
+    def start_attempt(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
         forward = Forward(self, owner, server, name)
         fields = [(ID, raw.rid), (b"content-type", b"application/json")]
         if raw.key is not None:
@@ -307,7 +307,7 @@
     def release(self, server, name):
         Release(self, server, name)
 
-    def hold(self, server, name, tokens, done):
+    def hold_place(self, server, name, tokens, done):
         if server not in self.addresses:
             return self.loop.soon(done, False)
 
--- a/lapiswing/node/view.py
+++ b/lapiswing/node/view.py
@@ -11,7 +11,7 @@
             if forward[3]:
                 believed[forward[0].id] = believed.get(forward[0].id, 0) + 1
     for req in core.reqs.values():
-        for one in req.outs.values():
+        for one in req.attempts.values():
             out[one.server] = out.get(one.server, 0) + 1
     busy, idle = {}, {}
     for conn in pool.all:
--- a/lapiswing/sessions/book.py
+++ b/lapiswing/sessions/book.py
@@ -57,7 +57,7 @@
 class Session:
     def __init__(self, number, tenant, now_us):
         self.id, self.tenant, self.streams, self.bytes = number, tenant, {}, 0
-        self.heard_us, self.away_us, self.writable, self.queued = now_us, None, True, False
+        self.heard_us, self.disconnected_since_us, self.writable, self.queued = now_us, None, True, False
         self.turns = deque()  # streams with something to send
         self.ended = deque()  # ids of streams whose final answer is in, oldest first
         self.owner = None  # the host's connection
@@ -96,12 +96,12 @@
 
     def dropped(self, session, now_us):
         """Its connection is gone."""
-        session.away_us, session.writable = now_us, False
+        session.disconnected_since_us, session.writable = now_us, False
 
     def resume(self, session, seen, now_us):
         """It is back on a new connection. `seen`: id -> last item seen. -> (next item by stream, streams with a gap):
         the host ends the latter's reqs; their final answer is already in."""
-        session.away_us, session.heard_us, session.writable = None, now_us, True
+        session.disconnected_since_us, session.heard_us, session.writable = None, now_us, True
         gaps, following = [], {}
         for rid, stream in list(session.streams.items()):
             last = max(0, seen.get(rid, 0))
@@ -137,8 +137,8 @@
         """Sessions to be ended: away too long, or idle. -> [(session, 'away' or 'idle')]"""
         out = []
         for s in self.sessions.values():
-            if s.away_us is not None:
-                if now_us - s.away_us >= self.limits.resume_us:
+            if s.disconnected_since_us is not None:
+                if now_us - s.disconnected_since_us >= self.limits.resume_us:
                     out.append((s, "away"))
             elif now_us - s.heard_us >= self.limits.idle_us and all(x.over for x in s.streams.values()):
                 out.append((s, "idle"))
--- a/lapiswing/standin/box.py
+++ b/lapiswing/standin/box.py
@@ -7,7 +7,7 @@
 import numpy as np
 import orjson
 
-from lapiswing.chat import DONE, Wrong, event, parse_call, prompt_tokens
+from lapiswing.chat import DONE, InvalidCall, encode_event, estimate_prompt_tokens, parse_call
 from lapiswing.chat.errors import error_body
 from lapiswing.http1 import Limits, Server
 from lapiswing.loop import Listener, listen_socket
@@ -100,7 +100,7 @@
             self.seed = crc32("\0".join(texts[:-1]).encode())
         else:
             self.seed = crc32("\0".join(texts).encode())
-        self.tokens = prompt_tokens(texts, BYTES_PER_TOKEN)
+        self.tokens = estimate_prompt_tokens(texts, BYTES_PER_TOKEN)
         wanted = (call.raw.get("metadata") or {}).get("answer_tokens")
         self.length = int(wanted) if wanted else 12 + self.seed % 40
         self.stop = "stop"
@@ -238,7 +238,7 @@
         key = (exchange.header(b"idempotency-key") or b"").decode() or None
         try:
             call = parse_call(exchange.body)
-        except Wrong as problem:
+        except InvalidCall as problem:
             self.put("arrive", name=name, lab=None, stage="?", size=len(exchange.body))
             return exchange.respond(400, error_body(str(problem), "invalid_request_error", None, problem.param))
         lab = (call.raw.get("metadata") or {}).get("lab")
@@ -359,7 +359,7 @@
         digest, tokens, out = 0, 0, []
         for text in job.call.texts:
             digest = crc32(text.encode(), digest)
-            tokens += prompt_tokens([text], BYTES_PER_TOKEN)
+            tokens += estimate_prompt_tokens([text], BYTES_PER_TOKEN)
             out.append((digest, tokens))
         return out
 
@@ -586,7 +586,7 @@
         if job.call.include_usage:
             made = job.at - job.done_words
             exchange.send(
-                event(
+                encode_event(
                     {
                         **self.frame(job),
                         "choices": [],
@@ -608,7 +608,7 @@
         return {"id": job.id, "object": "chat.completion.chunk", "created": 0, "model": job.call.model}
 
     def chunk(self, job, delta, finish=None):
-        return event({**self.frame(job), "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]})
+        return encode_event({**self.frame(job), "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]})
 
     # ---- what no server should say
 
--- a/tests/whole.py
+++ b/tests/gateway_site.py
@@ -30,8 +30,8 @@
 KIND = {"read": "rd", "write": "wr", "both": "mx"}
 
 
-class Place:
-    """`with Place(roles) as place`: `place.port` is the gateway's. Times of boxes are short, so tests are quick."""
+class GatewaySite:
+    """`with GatewaySite(roles) as place`: `place.port` is the gateway's. Times of boxes are short, so tests are quick."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
             self.loop.turn(5000)
 
 
-class Raw:
+class RawClient:
     """A client's bare socket beside the loop."""
 
     def __init__(self, place, data=b"", small=False):
@@ -121,7 +121,7 @@
         self.sock.close()
 
 
-class Taken:
+class ResponseCollector:
     """Handler of a request on `http1.Pool` whose answer is taken whole: `done((status, body))`, or `done((None, stage))`."""
 
     def __init__(self, done):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from whole import Place, Raw, Taken, chat, post, status
+from gateway_site import GatewaySite, RawClient, ResponseCollector, chat, post, status
 
 from lapiswing.admin.client import AdminError, ask, place_of
 from lapiswing.admin.feed import Feed
@@ -26,7 +26,7 @@
     def __init__(self, folder, more="", **place):
         self.look, self.act_at = str(folder / "look.sock"), str(folder / "act.sock")
         self.audit = folder / "audit.jsonl"
-        self.place = Place(
+        self.place = GatewaySite(
             more=f'admin {{ path: "{self.look}" control_path: "{self.act_at}" audit_file: "{self.audit}" {more} }}', **place
         )
         self.loop, self.admin = self.place.loop, self.place.gateway.admin
@@ -43,7 +43,12 @@
         out = []
         fields = [(b"authorization", b"Bearer " + key.encode())] if key else []
         self.pool.request(
-            where or self.look, method, path.encode(), fields, json.dumps(value).encode() if value else b"", Taken(out.append)
+            where or self.look,
+            method,
+            path.encode(),
+            fields,
+            json.dumps(value).encode() if value else b"",
+            ResponseCollector(out.append),
         )
         assert self.loop.run_until(lambda: out, 5 * S)
         status, body = out[0]
@@ -53,7 +58,7 @@
         return self.ask("/v1/actions", where or self.act_at, b"POST", value, key)
 
     def start(self, model="question", text="hello there", **more):
-        return Raw(self.place, post(chat(model, text, **more)))
+        return RawClient(self.place, post(chat(model, text, **more)))
 
     def call(self, model="question", text="hello there", **more):
         raw = self.start(model, text, **more)
@@ -132,7 +137,7 @@
     assert desk.act({"act": "cap", "what": "demo", "rps": 0, "minutes": 5})[0] == 200
     assert desk.call() == 429 or desk.place.core.counts["capped"] == 1
     assert desk.place.core.counts["taken"] == 0 and not desk.place.rows("arrive")
-    raw = Raw(desk.place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
+    raw = RawClient(desk.place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
     assert status(raw.until()) == 200
     _, snap = desk.ask("/v1/snapshot?parts=tenants")
     assert next(t for t in snap["tenants"] if t["tenant"] == "demo")["cap"]["rps"] == 0
@@ -246,7 +251,7 @@
     desk.admin.build = lambda wanted: (builds.append(wanted), real(wanted))[1]
     out = []
     for _ in range(20):
-        desk.pool.request(desk.look, b"GET", b"/v1/snapshot", [], b"", Taken(lambda answer: out.append(answer[0])))
+        desk.pool.request(desk.look, b"GET", b"/v1/snapshot", [], b"", ResponseCollector(lambda answer: out.append(answer[0])))
     assert desk.loop.run_until(lambda: len(out) == 20, 5 * S) and out == [200] * 20 and len(builds) == 1
 
 
@@ -263,7 +268,7 @@
     spec = real.spec
     for i in range(5000):
         req = Req(10**6 + i, spec, core.loop.clock.now_us())
-        req.trail = ["read 127.0.0.1:1 read 7"]
+        req.attempt_history = ["read 127.0.0.1:1 read 7"]
         core.reqs[req.rid] = req
     turns, hook = [], desk.place.gateway.tasks.turn
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -4,7 +4,7 @@
 
 import pytest
 from platform_door import BODY, Door, head
-from whole import Place, Raw, post, chat, status
+from gateway_site import GatewaySite, RawClient, post, chat, status
 
 from lapiswing.loop import Clock, Listener, Loop, Stream, listen_socket
 
@@ -132,8 +132,8 @@
 
 
 def test_the_chat_front_lingers_too():
-    with Place() as place:
-        raw = Raw(place, post(chat()).replace(b"Content-Length: ", b"Content-Length: 99999") + b"y" * 100_000)
+    with GatewaySite() as place:
+        raw = RawClient(place, post(chat()).replace(b"Content-Length: ", b"Content-Length: 99999") + b"y" * 100_000)
         got, clean = to_the_end(raw.sock, lambda: place.loop.turn(1000))
         assert status(got) == 413 and clean
 
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -25,24 +25,24 @@
         leaving = [s for s in door.platform.servers.values() if s.role == role][leaver]
         name = leaving.name
         if then == "at arrival":
-            take = door.core.ask
+            take = door.core.enqueue
 
             def ask(req, bits):
-                door.core.ask = take
+                door.core.enqueue = take
                 take(req, bits)
                 take_list_without(door, leaving)
 
-            door.core.ask = ask
+            door.core.enqueue = ask
         else:
-            outcome = door.core.outcome
+            outcome = door.core.attempt_ended
 
             def ended(req, rid, number, out, code, remark, report):
                 outcome(req, rid, number, out, code, remark, report)
                 if code == "read":
-                    door.core.outcome = outcome
+                    door.core.attempt_ended = outcome
                     take_list_without(door, leaving)
 
-            door.core.outcome = ended
+            door.core.attempt_ended = ended
         client = door.ask("r1")
         door.until(lambda: client.status)
         assert client.status == 200 and name not in door.node.rows.rows
@@ -58,17 +58,17 @@
 def test_a_fault_in_the_decisions_loses_no_news_behind_it(tmp_path):
     with Door(tmp_path, ("read", "read", "write")) as door:
         leaving = next(iter(door.platform.servers.values()))
-        take, on_req = door.core.ask, door.core.router.on_req
+        take, on_req = door.core.enqueue, door.core.router.on_req
 
         def ask(req, bits):
             take(req, bits)
             take_list_without(door, leaving)
 
         def fail(*fields):
-            door.core.ask, door.core.router.on_req = take, on_req
+            door.core.enqueue, door.core.router.on_req = take, on_req
             raise ZeroDivisionError("a fault")
 
-        door.core.ask, door.core.router.on_req = ask, fail
+        door.core.enqueue, door.core.router.on_req = ask, fail
         client = door.ask("r1", Req_Deadline="0.300")
         door.until(lambda: door.core.counts["faults"])
         assert leaving.name not in door.core.router.table.rows.at
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from whole import Place, Raw, chat, post, status
+from gateway_site import GatewaySite, RawClient, chat, post, status
 
 from lapiswing.dns.browse import Browser, Refused, box_of, words_of
 from lapiswing.dns.cache import Cache
@@ -307,7 +307,7 @@
     ports = free_ports(3)
     for i, (port, role) in enumerate(zip(ports, ("read", "write", "write"))):
         server.box(SERVICE, f"b{i}", "h.site.example.", "127.0.0.1", port, ttl=1, role=role, zone=f"z{i}")
-    with Place(
+    with GatewaySite(
         loop=loop,
         more=f'dns {{ server: "127.0.0.1:{server.address[1]}" service: "{SERVICE}" gone_ms: 500 }}',
         listed=False,
@@ -315,17 +315,17 @@
     ) as place:
         place.until(lambda: len(place.core.membership.told) == 3)
         for i in range(6):
-            assert status(Raw(place, post(chat(text=f"q{i}"))).until()) == 200
+            assert status(RawClient(place, post(chat(text=f"q{i}"))).until()) == 200
         writer = place.ids[1]
         server.put("b1." + SERVICE, "TXT", '"role=write" "drain=1"', ttl=1)
         place.until(lambda: place.core.membership.told[writer].mode == "draining")
         before = len(place.rows("arrive", box=writer))
         for i in range(6):
-            assert status(Raw(place, post(chat(text=f"r{i}"))).until()) == 200
+            assert status(RawClient(place, post(chat(text=f"r{i}"))).until()) == 200
         assert len(place.rows("arrive", box=writer)) == before
         server.withdraw(SERVICE, "b1")
         place.until(lambda: writer not in place.core.membership.told)
-        assert status(Raw(place, post(chat(text="s"))).until()) == 200
+        assert status(RawClient(place, post(chat(text="s"))).until()) == 200
         server.close()
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -131,7 +131,7 @@
         (server,) = door.platform.servers.values()
         server.fault = lambda exchange: exchange.method == b"POST"  # takes it and says nothing
         client = door.ask("a1", Req_Deadline="0.300")
-        door.until(lambda: door.core.reqs and door.core.reqs["a1"].outs)
+        door.until(lambda: door.core.reqs and door.core.reqs["a1"].attempts)
         (request,) = door.core.reqs.values()
         while door.loop.clock.now_us() < request.expires_us:
             pass  # the machine is busy elsewhere, for the rest of its time
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -191,7 +191,7 @@
         door.until(lambda: door.platform.discovery.waiting)
         ports = Ports(monkeypatch, errno.EADDRNOTAVAIL)
         client = door.ask("a1")
-        door.until(lambda: door.core.reqs and door.core.reqs["a1"].outs)
+        door.until(lambda: door.core.reqs and door.core.reqs["a1"].attempts)
         new = door.platform.add("both")
         old.status = "DRAINING"
         door.platform.discovery.tell(old.row(), new.row())
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -68,7 +68,20 @@
 def test_control_flow_inside_packages_stays_outside():
     """What is caught within its own package is no error for operators."""
     names = {kind.__name__ for kind in every_type()}
-    assert not names & {"Bad", "Wrong", "Unknown", "Damaged", "BadFrame", "BadAnswer", "Refused", "TooLong", "Impossible"}
+    assert not names & {
+        "Bad",
+        "Wrong",
+        "InvalidCall",
+        "Unknown",
+        "UnknownApiKey",
+        "Damaged",
+        "BadFrame",
+        "BadAnswer",
+        "Refused",
+        "TooLong",
+        "EventTooLong",
+        "Impossible",
+    }
 
 
 @pytest.mark.parametrize("kind", ["locked", "damaged", "newer", "io"])
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -180,11 +180,11 @@
 
 
 def test_a_gateway_joins_where_it_is_configured_and_loads_nothing_of_it_elsewhere(site):
-    from whole import Place
+    from gateway_site import GatewaySite
 
     (port,) = free_ports(1)
     more = f'fleet {{ listen {{ host: "127.0.0.1" port: {port} }} peer: "127.0.0.1:{site.ports["a"]}" key: "{KEY}" }}\n'
-    with Place(more=more) as place:
+    with GatewaySite(more=more) as place:
         fleet, end = place.gateway.fleet, site.loop.clock.now_us() + 10 * S
         while not fleet.link.may_write() and site.loop.clock.now_us() < end:
             site.loop.turn(5_000)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -3,11 +3,11 @@
 import resource
 
 import pytest
-from whole import Place, Raw, chat, post, status, words
+from gateway_site import GatewaySite, RawClient, chat, post, status, words
 
 
 def send(place, body, **headers):
-    return Raw(place, post(body, **headers))
+    return RawClient(place, post(body, **headers))
 
 
 def whole_answer(place, **fields):
@@ -16,7 +16,7 @@
 
 
 def test_a_stream_read_on_one_box_and_written_on_another():
-    with Place() as place:
+    with GatewaySite() as place:
         got = send(place, chat()).until()
         assert status(got) == 200 and got.count(b"data: [DONE]") == 1 and len(words(got).split()) == 20
         assert [r["stage"] for r in place.rows("arrive")] == ["read", "write"]
@@ -24,7 +24,7 @@
 
 
 def test_a_mixed_box_reads_and_writes_in_one_forward():
-    with Place(["both", "both"]) as place:
+    with GatewaySite(["both", "both"]) as place:
         assert b"[DONE]" in send(place, chat()).until()
         assert [r["stage"] for r in place.rows("arrive")] == ["direct"]
 
@@ -33,14 +33,14 @@
 def test_told_memory_reaches_the_decisions_where_the_settings_name_it(named):
     """By default the module hears what it heard before; boxes that go on with what is taken back are said too."""
     more = 'mapping { load_memory: "x0" } limits { keep_forwards: true }' if named else ""
-    with Place(more=more) as place:
+    with GatewaySite(more=more) as place:
         assert status(send(place, chat(tokens=5)).until()) == 200
         told = [m.id for m in place.core.router.machines.values() if m.held_at > 0]
         assert bool(told) == named and place.core.router.may_cancel != named
 
 
 def test_whole_answers_and_usage():
-    with Place() as place:
+    with GatewaySite() as place:
         got = send(place, chat(stream=False, tokens=5)).until()
         assert status(got) == 200 and b'"object":"chat.completion"' in got and b'"completion_tokens":5' in got
         assert b"usage" not in send(place, chat(tokens=3)).until()
@@ -50,7 +50,7 @@
 
 
 def test_a_writer_dies_mid_stream_and_the_stream_goes_on():
-    with Place() as place:
+    with GatewaySite() as place:
         want = whole_answer(place, tokens=60)
         raw = send(place, chat(tokens=60))
         raw.until(lambda got: got.count(b"content") > 12)
@@ -63,7 +63,7 @@
 
 
 def test_a_writer_dies_mid_stream_where_streams_may_not_go_on():
-    with Place(resume="false") as place:
+    with GatewaySite(resume="false") as place:
         raw = send(place, chat(tokens=60))
         raw.until(lambda got: got.count(b"content") > 12)
         next(b for b in place.fleet.boxes.values() if b.running).die()
@@ -72,7 +72,7 @@
 
 
 def test_a_stream_that_breaks_again_and_again_ends_once():
-    with Place(["read", "write", "write", "write"], more="limits { resumes: 2 }") as place:
+    with GatewaySite(["read", "write", "write", "write"], more="limits { resumes: 2 }") as place:
         for i in (1, 2, 3):
             place.box(i).faults.reset_at = 600
         got = send(place, chat(tokens=80)).until()
@@ -81,7 +81,7 @@
 
 
 def test_a_stream_that_hangs_goes_on_elsewhere():
-    with Place() as place:
+    with GatewaySite() as place:
         for group in place.core.groups:
             group.stream_idle_ms = 300
         want = whole_answer(place, tokens=40)
@@ -92,7 +92,7 @@
 
 
 def test_a_keyed_retry_joins_the_first_try():
-    with Place() as place:
+    with GatewaySite() as place:
         first = send(place, chat("order", tokens=40), Idempotency_Key="k1")
         first.until(lambda got: got.count(b"content") > 5)
         second = send(place, chat("order", tokens=40, stream=False), Idempotency_Key="k1")
@@ -105,16 +105,16 @@
 
 
 def test_a_key_with_another_body_and_a_key_of_another_tenant():
-    with Place() as place:
+    with GatewaySite() as place:
         send(place, chat("order"), Idempotency_Key="k1").until()
         got = send(place, chat("order", text="tea?"), Idempotency_Key="k1").until()
         assert status(got) == 422 and b"idempotency_key_reused" in got and b"x-should-retry: false" in got
         other = post(chat("order", text="tea?"), Idempotency_Key="k1").replace(b"Bearer demo", b"Bearer other")
-        assert status(Raw(place, other).until()) == 200
+        assert status(RawClient(place, other).until()) == 200
 
 
 def test_the_first_try_leaves_while_the_second_listens():
-    with Place() as place:
+    with GatewaySite() as place:
         first = send(place, chat("order", tokens=40), Idempotency_Key="k1")
         first.until(lambda got: got.count(b"content") > 5)
         second = send(place, chat("order", tokens=40), Idempotency_Key="k1")
@@ -127,7 +127,7 @@
 def test_a_first_try_that_ended_in_doubt(scope):
     """The writer ran it and its answer was lost. Where all boxes drop repeats it may go to another one; where only a
     zone's do, nothing may be sent again and the retry is told so."""
-    with Place(["read", "write", "write"], scope=scope) as place:
+    with GatewaySite(["read", "write", "write"], scope=scope) as place:
         for i in (1, 2):
             place.box(i).faults.reset_at = 300
         got = send(place, chat("order"), Idempotency_Key="k1").until()
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("model,fault,scope,ends", CASES)
 def test_every_kind_through_every_outcome(model, fault, scope, ends):
-    with Place(["read", "write", "write", "write"], scope=scope, more="limits { event_bytes: 65536 }") as place:
+    with GatewaySite(["read", "write", "write", "write"], scope=scope, more="limits { event_bytes: 65536 }") as place:
         for i in (1, 2, 3):
             for name, value in fault.items():
                 setattr(place.box(i).faults, name, value)
@@ -187,7 +187,7 @@
 
 
 def test_no_box_can_be_reached():
-    with Place() as place:
+    with GatewaySite() as place:
         for box in place.fleet.boxes.values():
             box.die()
         for model in ("question", "order", "pay"):  # nothing ran, so each is pushed back
@@ -195,7 +195,7 @@
 
 
 def test_all_boxes_hang_and_each_req_is_answered_in_time():
-    with Place() as place:
+    with GatewaySite() as place:
         for box in place.fleet.boxes.values():
             box.faults.hang = True
         start = place.loop.clock.now_us()
@@ -205,7 +205,7 @@
 
 
 def test_a_reader_dies_while_it_holds_the_state():
-    with Place(["read", "read", "write"], read_per_s=300.0) as place:
+    with GatewaySite(["read", "read", "write"], read_per_s=300.0) as place:
         raw = send(place, chat(text="x" * 200, tokens=10))
         place.until(lambda: place.rows("arrive"))
         place.fleet.boxes[place.rows("arrive")[0]["box"]].die()
@@ -213,7 +213,7 @@
 
 
 def test_a_client_that_vanishes_without_an_end():
-    with Place() as place:
+    with GatewaySite() as place:
         raw = send(place, chat("pay", tokens=400))
         raw.until(lambda got: b"content" in got)
         raw.left()
@@ -228,8 +228,8 @@
 
 def test_a_client_that_reads_one_byte_at_a_time_slows_its_box():
     more = "limits { answer_buffer_bytes: 4096 }"
-    with Place(more=more, step_ms=0.2) as place:
-        raw = Raw(place, post(chat(tokens=3000, max_tokens=3000)), small=True)
+    with GatewaySite(more=more, step_ms=0.2) as place:
+        raw = RawClient(place, post(chat(tokens=3000, max_tokens=3000)), small=True)
         place.until(lambda: place.rows("first"))
         for _ in range(200):  # far fewer bytes than are written
             raw.read(1)
@@ -242,24 +242,24 @@
 
 
 def test_half_a_body_and_silence():
-    with Place(listen="body_ms: 300") as place:
-        raw = Raw(place, post(chat())[:-10])
+    with GatewaySite(listen="body_ms: 300") as place:
+        raw = RawClient(place, post(chat())[:-10])
         assert status(raw.until()) == 408 and not place.rows("arrive")
-        raw = Raw(place, post(chat())[:-10])
+        raw = RawClient(place, post(chat())[:-10])
         place.turn_for(30)
         raw.left()
         assert status(send(place, chat()).until()) == 200
 
 
 def test_box_words_on_the_call_reach_the_client():
-    with Place() as place:
+    with GatewaySite() as place:
         place.box(0).chat = lambda exchange: exchange.json(400, {"error": {"message": "context too long"}})
         got = send(place, chat()).until()
         assert status(got) == 400 and b"context too long" in got
 
 
 def test_a_draining_box_gets_nothing_and_comes_back_by_its_own_word():
-    with Place(["read", "write", "write"]) as place:
+    with GatewaySite(["read", "write", "write"]) as place:
         place.box(1).faults.draining = True
         for _ in range(12):
             assert b"[DONE]" in send(place, chat(tokens=2)).until()
@@ -272,7 +272,7 @@
 
 
 def test_open_reqs_are_bounded_and_what_is_over_is_told_when_to_come_back():
-    with Place(more="limits { open_reqs: 2 }", step_ms=20.0) as place:
+    with GatewaySite(more="limits { open_reqs: 2 }", step_ms=20.0) as place:
         first = [send(place, chat(tokens=30)) for _ in range(2)]
         place.until(lambda: place.core.open == 2)
         got = send(place, chat()).until()
@@ -281,9 +281,9 @@
 
 
 def test_draining_ends_what_runs_and_takes_no_more():
-    with Place(step_ms=10.0) as place:
+    with GatewaySite(step_ms=10.0) as place:
         raw = send(place, chat(tokens=20))
-        idle = Raw(place, post(chat(tokens=1), close=False))
+        idle = RawClient(place, post(chat(tokens=1), close=False))
         idle.until(lambda got: got.endswith(b"0\r\n\r\n"))
         raw.until(lambda got: b"content" in got)
         stopped = []
@@ -291,13 +291,13 @@
         place.gateway.drain()
         assert idle.until() and idle.ended
         with pytest.raises(ConnectionRefusedError):
-            Raw(place)
+            RawClient(place)
         assert b"[DONE]" in raw.until()
         place.until(lambda: stopped)
 
 
 def test_draining_past_its_limit_gives_each_req_its_final_answer():
-    with Place(step_ms=200.0) as place:
+    with GatewaySite(step_ms=200.0) as place:
         place.gateway.settings.gateway.drain_limit_ms = 200
         begun = send(place, chat(tokens=200))
         begun.until(lambda got: b"content" in got)
@@ -315,7 +315,7 @@
 
 
 def test_a_fault_in_the_decisions_leaves_nobody_without_an_answer():
-    with Place() as place:
+    with GatewaySite() as place:
 
         def broken(*_):
             raise RuntimeError("on purpose")
@@ -327,14 +327,14 @@
 
 def test_timers_that_the_module_sets_come_back_to_it():
     """They were once put on a list of events that had been handed over already, and shares never moved."""
-    with Place() as place:
+    with GatewaySite() as place:
         send(place, chat(tokens=3)).until()
         before = place.core.router.moved_us
         place.until(lambda: place.core.router.moved_us > before)
 
 
 def test_a_release_that_a_hung_box_did_not_hear_is_sent_again():
-    with Place(["read", "write"], step_ms=50.0) as place:
+    with GatewaySite(["read", "write"], step_ms=50.0) as place:
         place.box(1).faults.hang = True
         raw = send(place, chat(), X_Request_Timeout_Ms=500)
         place.until(lambda: place.rows("arrive", stage="write"))
@@ -354,13 +354,13 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 8192)), hard))
     try:
-        with Place(
+        with GatewaySite(
             ["read", "read", "write", "write", "write"], step_ms=40.0, slots=300, queue=300, read_queue=600, per_stream_ms=0.0
         ) as place:
             before = resident()
             idle = []
             for _ in range(2000):
-                idle.append(Raw(place))
+                idle.append(RawClient(place))
                 if len(idle) % 32 == 0:
                     place.loop.turn(0)
             place.until(lambda: len(place.gateway.server.connections) == 2000)
@@ -385,7 +385,7 @@
 
 def test_a_state_that_its_writer_could_not_fetch_is_let_go_all_the_same():
     """The holder hung with the state, its writer said `no-state`, and nobody let go of it."""
-    with Place(["read", "write"]) as place:
+    with GatewaySite(["read", "write"]) as place:
         give = place.box(0).give
         place.box(0).give = lambda exchange, name: None
         raw = send(place, chat("pay"))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -10,7 +10,7 @@
 
 
 class Call:
-    rid, over, begun, expires_us = "a1", False, None, 10_000 * MS
+    rid, over, answering_no, expires_us = "a1", False, None, 10_000 * MS
 
 
 def guards(effect="replayable", scope="all", second_copies=True):
@@ -41,7 +41,7 @@
     assert may(g, now_ms=1300)
 
 
-@pytest.mark.parametrize("change", [{"over": True}, {"begun": 0}, {"expires_us": 50 * MS}])
+@pytest.mark.parametrize("change", [{"over": True}, {"answering_no": 0}, {"expires_us": 50 * MS}])
 def test_nothing_starts_for_a_call_that_wants_nothing_any_more(change):
     g = guards()
     assert not may(g, type("Ended", (Call,), change)) and g.counts[Check.STARTING] == 1
@@ -108,7 +108,7 @@
         server.fault = lambda exchange: exchange.method == b"POST"
         client = door.ask("a1")
         door.until(lambda: door.core.reqs)
-        door.core.guards.closed(door.core.reqs.values())
+        door.core.guards.check_closed(door.core.reqs.values())
         assert door.core.guards.counts[Check.CLOSING] == 1
         client.close()
         door.settled()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,7 +4,7 @@
 import resource
 
 import pytest
-from whole import Place, Raw, chat, post, status
+from gateway_site import GatewaySite, RawClient, chat, post, status
 
 GET = b"GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\n"
 POST = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\n"
@@ -49,7 +49,7 @@
 
 @pytest.fixture(scope="module")
 def place():
-    with Place() as place:
+    with GatewaySite() as place:
         yield place
 
 
@@ -57,13 +57,13 @@
 def test_what_is_refused(place, name):
     data, want = BAD[name]
     before = len(place.rows("arrive"))
-    got = Raw(place, data).until()
+    got = RawClient(place, data).until()
     assert status(got) == want and got.count(b"HTTP/1.1 ") == 1 and b'"error"' in got
     assert len(place.rows("arrive")) == before
 
 
 def test_no_status_says_come_again_where_that_is_useless(place):
-    assert b"x-should-retry" not in Raw(place, post(chat())).until()
+    assert b"x-should-retry" not in RawClient(place, post(chat())).until()
 
 
 def test_pipelined_requests_are_answered_in_order(place):
@@ -71,13 +71,13 @@
     chunked = POST + b"Transfer-Encoding: chunked\r\n\r\n"
     body = post(chat(stream=False, tokens=3)).split(b"\r\n\r\n", 1)[1]
     chunked += b"%x\r\n%b\r\n1;ext=1\r\n%b\r\n0\r\nTrailer: x\r\n\r\n" % (len(body) - 1, body[:-1], body[-1:])
-    got = Raw(place, one + chunked + one + post(chat(tokens=2))).until()
+    got = RawClient(place, one + chunked + one + post(chat(tokens=2))).until()
     assert got.count(b"HTTP/1.1 200") == 4
     assert got.index(b'"list"') < got.index(b'"chat.completion"') < got.rindex(b'"list"') < got.index(b"[DONE]")
 
 
 def test_a_request_byte_by_byte(place):
-    raw = Raw(place)
+    raw = RawClient(place)
     for byte in post(chat(tokens=2)):
         raw.sock.send(bytes([byte]))
         place.loop.turn(0)
@@ -85,33 +85,33 @@
 
 
 def test_head_has_no_body(place):
-    got = Raw(place, GET.replace(b"GET", b"HEAD") + b"Connection: close\r\n\r\n").until()
+    got = RawClient(place, GET.replace(b"GET", b"HEAD") + b"Connection: close\r\n\r\n").until()
     assert status(got) == 200 and got.endswith(b"\r\n\r\n") and b"content-length: 0" not in got
 
 
 def test_expect_100(place):
     head, body = post(chat(tokens=2)).split(b"\r\n\r\n", 1)
-    raw = Raw(place, head + b"\r\nExpect: 100-continue\r\n\r\n")
+    raw = RawClient(place, head + b"\r\nExpect: 100-continue\r\n\r\n")
     raw.until(lambda got: got == b"HTTP/1.1 100 Continue\r\n\r\n")
     raw.sock.sendall(body)
     assert b"[DONE]" in raw.until()
 
 
 def test_a_client_of_the_old_version_gets_an_end_by_close(place):
-    got = Raw(place, post(chat(tokens=2)).replace(b"HTTP/1.1", b"HTTP/1.0")).until()
+    got = RawClient(place, post(chat(tokens=2)).replace(b"HTTP/1.1", b"HTTP/1.0")).until()
     assert b"transfer-encoding" not in got and got.endswith(b"data: [DONE]\n\n")
 
 
 def test_slow_heads_are_ended():
-    with Place(listen="head_ms: 200") as place:
-        assert status(Raw(place, b"GET / HTTP/1.1\r\nHos").until()) == 408
+    with GatewaySite(listen="head_ms: 200") as place:
+        assert status(RawClient(place, b"GET / HTTP/1.1\r\nHos").until()) == 408
 
 
 def test_no_descriptor_left_ends_neither_loop_nor_service():
-    with Place() as place:
+    with GatewaySite() as place:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         try:
-            raws = [Raw(place) for _ in range(3)]
+            raws = [RawClient(place) for _ in range(3)]
             place.turn_for(30)
             # From here on nothing can be opened: the waiting ones are accepted on the spare one and closed.
             late = [socket_of(place) for _ in range(3)]
@@ -137,11 +137,11 @@
 
 
 def test_more_connections_than_allowed_are_closed_and_the_others_served():
-    with Place(listen="connections: 3") as place:
-        raws = [Raw(place) for _ in range(3)]
+    with GatewaySite(listen="connections: 3") as place:
+        raws = [RawClient(place) for _ in range(3)]
         place.until(lambda: len(place.gateway.server.connections) == 3)
-        extra = Raw(place)
+        extra = RawClient(place)
         extra.until()
         raws[0].sock.sendall(post(chat(tokens=2)))
         assert b"[DONE]" in raws[0].until()
-        assert status(Raw(place, post(chat(tokens=2))).until()) == 200  # the place of the first is free again
+        assert status(RawClient(place, post(chat(tokens=2))).until()) == 200  # the place of the first is free again
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -161,7 +161,7 @@
         door.until(lambda: door.node.server.connections)
         near = list(rows.rows.values())
         rows.rows |= {f"x-{i}": Row(f"x-{i}", 0, 0, 2, 1.0, 0, "draining") for i in range(1022)}
-        taken = door.core.take
+        taken = door.core.submit
 
         def take(spec, listener):  # the list and the request are in one turn; the client goes while it is worked in
             req = taken(spec, listener)
@@ -176,7 +176,7 @@
             door.core.events.insert(0, door.core.events.pop())
             return req
 
-        door.core.take = take
+        door.core.submit = take
         door.until(lambda: len(door.core.router.machines) == 1024)
         door.loop.run_until(lambda: False, 220 * MS)
         assert not attempts(door) and near
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -565,7 +565,7 @@
         client = door.ask("a1")
         door.until(lambda: reader.seen)
         told = []
-        door.core.place, real = lambda *args: (told.append(args[-1]), real(*args)), door.core.place
+        door.core.place_answered, real = lambda *args: (told.append(args[-1]), real(*args)), door.core.place_answered
         door.core.hold_place("a1", writer.name)
         door.until(lambda: told)
         assert told == [held] and (door.core.reqs["a1"].left is not None) == left
@@ -604,7 +604,7 @@
         door.settled()
         door.until(lambda: not door.node.server.connections)
         router = core.router
-        assert len(router.machines) <= 3 and len(core.kinds) <= 3 and len(core.tally.boxes) <= 3
+        assert len(router.machines) <= 3 and len(core.kinds) <= 3 and len(core.tally.servers) <= 3
         assert max(router.table.pairs.shape) <= 3 and len(router.taken) <= 3 and not router.reqs and not core.ended
         assert len(door.node.pool.count) <= 2 and len(door.node.pool.all) <= 2 * door.node.pool.kept
         assert len(door.loop.watched) < 40 and len([t for t in door.loop.timers if t[2].call is not None]) < 20
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -4,7 +4,7 @@
 
 import openai
 import pytest
-from whole import Place
+from gateway_site import GatewaySite
 
 
 class Client(threading.Thread):
@@ -38,7 +38,7 @@
 
 
 def test_both_forms_say_the_same():
-    with Place() as place:
+    with GatewaySite() as place:
         whole, streamed = Client(place, ask()).result, Client(place, ask(stream=True)).result
         assert whole.choices[0].message.content == streamed and whole.usage.completion_tokens == len(streamed.split())
         assert {m.id for m in Client(place, lambda c: list(c.models.list())).result} == {"question", "order", "pay"}
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("stream", [False, True])
 def test_an_aborted_req_is_not_tried_again(stream):
-    with Place() as place:
+    with GatewaySite() as place:
         for i in (1, 2):
             place.box(i).faults.lost = 1.0
         problem = Client(place, ask("pay", stream)).problem
@@ -55,7 +55,7 @@
 
 
 def test_an_abort_within_a_stream_is_an_error_and_not_tried_again():
-    with Place(resume="false") as place:
+    with GatewaySite(resume="false") as place:
         for i in (1, 2):
             place.box(i).faults.reset_at = 500
         problem = Client(place, ask("pay", True)).problem
@@ -64,9 +64,9 @@
 
 
 def test_a_pushed_back_req_comes_again_no_sooner_than_told():
-    with Place(more="limits { max_come_back_ms: 900 }") as place:
-        times, take = [], place.core.take
-        place.core.take = lambda spec, listener: (times.append(place.loop.clock.now_us()), take(spec, listener))[1]
+    with GatewaySite(more="limits { max_come_back_ms: 900 }") as place:
+        times, take = [], place.core.submit
+        place.core.submit = lambda spec, listener: (times.append(place.loop.clock.now_us()), take(spec, listener))[1]
         for i in (1, 2):
             place.box(i).faults.draining = True
 
@@ -86,7 +86,7 @@
 
 
 def test_a_wrong_call_is_told_its_field():
-    with Place() as place:
+    with GatewaySite() as place:
         problem = Client(place, ask(max_tokens=-3)).problem
         assert isinstance(problem, openai.BadRequestError) and problem.param == "max_tokens"
         assert isinstance(Client(place, ask("nope")).problem, openai.NotFoundError)
@@ -94,7 +94,7 @@
 
 def test_a_keyed_retry_by_the_library_runs_once():
     """The first answer is lost on the way to the client, which tries again with the same key by itself."""
-    with Place() as place:
+    with GatewaySite() as place:
         dropped = []
 
         def drop(*_):
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -13,7 +13,7 @@
 
 import orjson
 import pytest
-from whole import Place, Raw, chat, post, status, words
+from gateway_site import GatewaySite, RawClient, chat, post, status, words
 
 from lapiswing.admission import Repeats
 from lapiswing.loop import free_ports
@@ -42,11 +42,11 @@
 
 
 def with_store(folder, more="", **place):
-    return Place(more=f'store {{ folder: "{folder}" {more} }}', **place)
+    return GatewaySite(more=f'store {{ folder: "{folder}" {more} }}', **place)
 
 
 def call(place, key="k1", model="order", text="one soup", most_s=8, **more):
-    return Raw(place, post(chat(model, text, **more), Idempotency_Key=key))
+    return RawClient(place, post(chat(model, text, **more), Idempotency_Key=key))
 
 
 def test_an_answer_given_before_a_restart_is_given_again_and_nothing_runs_twice(tmp_path):
@@ -150,7 +150,7 @@
         assert status(first) in ((503, 429) if code == 503 else (200,))
         assert status(call(place, key="b").until()) in ((503, 429) if code == 503 else (200,))
         assert place.gateway.store.mode == "failed"
-        assert status(Raw(place, post(chat("question"))).until()) == 200  # the others go on
+        assert status(RawClient(place, post(chat("question"))).until()) == 200  # the others go on
         assert len(place.rows("ran", model="order")) == 2 * ran
 
 
@@ -162,7 +162,7 @@
         again(place, tmp_path)
         assert place.gateway.store.mode == "failed" and "MANIFEST" in place.gateway.store.why
         assert status(call(place).until()) in (429, 503) and len(place.rows("ran")) == 1
-        assert status(Raw(place, post(chat("question"))).until()) == 200
+        assert status(RawClient(place, post(chat("question"))).until()) == 200
 
 
 def test_an_operators_drain_and_cap_outlive_a_restart(tmp_path):
@@ -178,8 +178,8 @@
         assert [why for why, _ in done] == [None, None]
         again(place, tmp_path)
         assert place.core.membership.told[box].mode == "draining" and place.core.membership.why(box) == "operator"
-        assert status(Raw(place, post(chat("question"))).until()) in (429, 503)
-        raw = Raw(place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
+        assert status(RawClient(place, post(chat("question"))).until()) in (429, 503)
+        raw = RawClient(place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
         assert status(raw.until()) == 200 and not place.rows("arrive", box=box)
 
 
@@ -351,7 +351,7 @@
             assert status(call(place, key=text, text=text).until()) == 200
         before = place.core.router.learnt()
         assert before["groups"][1][1] > 0 and any(row[4] for row in before["boxes"]) and before["kinds"][0][2] > 0
-        place.gateway.put_learnt()
+        place.gateway.save_learned_state()
         place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
         again(place, tmp_path)
         router = place.core.router
--- a/tests/test_transfer_program.py
+++ b/tests/test_transfer_program.py
@@ -12,7 +12,7 @@
 
 import pytest
 from click.testing import CliRunner
-from whole import Taken
+from gateway_site import ResponseCollector
 
 from lapiswing.cli.main import main
 from lapiswing.loop import Clock, Loop, free_ports
@@ -203,7 +203,7 @@
             target.encode(),
             [],
             json.dumps(value).encode() if value is not None else b"",
-            Taken(out.append),
+            ResponseCollector(out.append),
         )
         return out, exchange
 
--- a/tests/test_websocket.py
+++ b/tests/test_websocket.py
@@ -10,7 +10,7 @@
 import pytest
 import websocket
 from lapiswing.standin.box import answer_to
-from whole import Place, Raw, chat, post, status, words
+from gateway_site import GatewaySite, RawClient, chat, post, status, words
 
 PATH = "/v1/chat/sessions"
 
@@ -91,11 +91,11 @@
 
 
 def reference(place, **fields):
-    return words(Raw(place, post(chat(**fields))).until())
+    return words(RawClient(place, post(chat(**fields))).until())
 
 
 def test_several_reqs_on_one_session():
-    with Place() as place:
+    with GatewaySite() as place:
         want = reference(place, tokens=30)
 
         def script(port):
@@ -124,7 +124,7 @@
     [([], 401), (["Authorization: Bearer nope"], 401), (["Authorization: Bearer demo", "Sec-WebSocket-Protocol: other"], 400)],
 )
 def test_refused_handshakes(headers, code):
-    with Place() as place:
+    with GatewaySite() as place:
 
         def script(port):
             with pytest.raises(websocket.WebSocketBadStatusException) as caught:
@@ -135,18 +135,18 @@
 
 
 def test_a_plain_get_and_an_old_version():
-    with Place() as place:
+    with GatewaySite() as place:
         get = f"GET {PATH} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\nConnection: close\r\n".encode()
-        assert status(Raw(place, get + b"\r\n").until()) == 426
+        assert status(RawClient(place, get + b"\r\n").until()) == 426
         old = get.replace(b"Connection: close", b"Connection: Upgrade") + (
             b"Upgrade: websocket\r\nSec-WebSocket-Key: aaaaaaaaaaaaaaaaaaaaaa==\r\nSec-WebSocket-Version: 8\r\n\r\n"
         )
-        raw = Raw(place, old)
+        raw = RawClient(place, old)
         assert status(raw.until(lambda got: b"\r\n\r\n" in got)) == 400
 
 
 def test_a_drop_in_mid_stream_and_the_rest_exactly_once():
-    with Place() as place:
+    with GatewaySite() as place:
         want = reference(place, tokens=80)
 
         def script(port):
@@ -163,7 +163,7 @@
 
 
 def test_a_drop_while_a_keyed_req_is_at_its_first_forward_and_after_its_final_answer():
-    with Place(read_per_s=400.0) as place:
+    with GatewaySite(read_per_s=400.0) as place:
 
         def script(port):
             s = Session(port)
@@ -183,7 +183,7 @@
 
 
 def test_two_connections_resume_the_same_session():
-    with Place(step_ms=10.0) as place:
+    with GatewaySite(step_ms=10.0) as place:
 
         def script(port):
             s = Session(port)
@@ -210,7 +210,7 @@
 
 
 def test_tokens_that_are_refused():
-    with Place() as place, Place() as elsewhere:
+    with GatewaySite() as place, GatewaySite() as elsewhere:
         # Both have the same signing key, as gateways of one site do.
         elsewhere.gateway.sessions.tokens.fernet = place.gateway.sessions.tokens.fernet
 
@@ -239,7 +239,7 @@
 
 
 def test_a_withdrawn_key_can_not_come_back():
-    with Place() as place:
+    with GatewaySite() as place:
 
         def script(port):
             s = Session(port)
@@ -254,7 +254,7 @@
 
 
 def test_a_session_that_never_comes_back_counts_as_left():
-    with Place(more="sessions { resume_ms: 400 }", step_ms=20.0) as place:
+    with GatewaySite(more="sessions { resume_ms: 400 }", step_ms=20.0) as place:
 
         def script(port):
             s = Session(port)
@@ -271,7 +271,7 @@
 
 
 def test_limits_are_answered_at_once():
-    with Place(more="sessions { per_tenant: 1 reqs: 2 }", step_ms=20.0) as place:
+    with GatewaySite(more="sessions { per_tenant: 1 reqs: 2 }", step_ms=20.0) as place:
 
         def script(port):
             s = Session(port)
@@ -291,7 +291,7 @@
 
 
 def test_credit_stops_a_stream_and_not_its_session():
-    with Place(more="sessions { stall_ms: 1500 }") as place:
+    with GatewaySite(more="sessions { stall_ms: 1500 }") as place:
 
         def script(port):
             s = Session(port)
@@ -310,7 +310,7 @@
 
 
 def test_cancel():
-    with Place(step_ms=20.0) as place:
+    with GatewaySite(step_ms=20.0) as place:
 
         def script(port):
             s = Session(port)
@@ -338,7 +338,7 @@
 
 
 def opened(place):
-    raw = Raw(
+    raw = RawClient(
         place,
         (
             f"GET {PATH} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer demo\r\nUpgrade: websocket\r\n"
@@ -372,7 +372,7 @@
     ],
 )
 def test_frames_that_end_the_connection(data, code):
-    with Place(more="sessions { message_bytes: 65536 }") as place:
+    with GatewaySite(more="sessions { message_bytes: 65536 }") as place:
         raw = opened(place)
         raw.sock.sendall(data)
         assert close_code(raw.until()) == code
@@ -380,7 +380,7 @@
 
 
 def test_fragments_with_control_frames_between():
-    with Place() as place:
+    with GatewaySite() as place:
         raw = opened(place)
         text = json.dumps({"type": "call", "id": "ü", "body": chat(text="größe", tokens=2)}, ensure_ascii=False).encode()
         for i, byte in enumerate(text):  # cut also within characters
@@ -393,7 +393,7 @@
 
 
 def test_what_is_no_message_is_told_and_harms_nobody():
-    with Place() as place:
+    with GatewaySite() as place:
 
         def script(port):
             s = Session(port)
@@ -427,7 +427,7 @@
 
 
 def test_a_client_that_pings_and_never_reads_is_bounded():
-    with Place(more="sessions { stall_ms: 1000 }") as place:
+    with GatewaySite(more="sessions { stall_ms: 1000 }") as place:
         raw = opened(place)
         ping = frame(9, b"x" * 125) * 200
         sent = 0
@@ -446,7 +446,7 @@
 
 
 def test_sessions_are_sent_elsewhere_in_a_spread_when_the_gateway_drains():
-    with Place(more="sessions { spread_ms: 1000 }") as place:
+    with GatewaySite(more="sessions { spread_ms: 1000 }") as place:
         place.gateway.settings.gateway.drain_limit_ms = 2500
         raws = [opened(place) for _ in range(12)]
         for raw in raws:
@@ -475,7 +475,7 @@
 
 def test_a_session_may_come_back_while_the_gateway_drains():
     """The port stays open for as long as a dropped session has something to come back for."""
-    with Place(step_ms=10.0) as place:
+    with GatewaySite(step_ms=10.0) as place:
 
         def script(port):
             s = Session(port)
@@ -501,7 +501,7 @@
         assert {r.get("code") or r["type"] for r in refused} == {"pong", "draining"}
         place.until(lambda: stopped)
         with pytest.raises(OSError):
-            Raw(place)
+            RawClient(place)
 
 
 def test_a_thousand_sessions_drop_together_and_return_together_while_two_boxes_are_down():
@@ -512,7 +512,7 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, 8192)), hard))
     boxes = ["read"] * 3 + ["write"] * 5
     try:
-        with Place(boxes, step_ms=60.0, per_stream_ms=0.0, slots=400, queue=400, read_queue=1200, memory=10**7) as place:
+        with GatewaySite(boxes, step_ms=60.0, per_stream_ms=0.0, slots=400, queue=400, read_queue=1200, memory=10**7) as place:
             place.core.limits.max_come_back_ms = 1000
             raws = []
             for i in range(1000):
