--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -348,7 +348,7 @@
 
         def send():
             if spec.entry is not None and stage != "read":
-                self.repeats.sent(spec.entry, self.loop.clock.now_us())
+                self.repeats.mark_sent(spec.entry, self.loop.clock.now_us())
             out.forward = self.engine.start_attempt(
                 owner,
                 server,
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -214,7 +214,7 @@
         self.log.info("learnt figures", said=said)
 
     def save_learned_state(self):
-        if self.store is None or not hasattr(self.core.router, "learnt"):
+        if self.store is None or not hasattr(self.core.router, "learned_state"):
             return
         figures = self.core.router.learned_state()
         # Start times as Unix milliseconds: the loop's own time means nothing to the next life.
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -177,7 +177,7 @@
             return req
 
         door.core.submit = take
-        door.until(lambda: len(door.core.router.machines) == 1024)
+        door.until(lambda: len(door.core.router.servers) == 1024)
         door.loop.run_until(lambda: False, 220 * MS)
         assert not attempts(door) and near
         door.settled()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -604,8 +604,8 @@
         door.settled()
         door.until(lambda: not door.node.server.connections)
         router = core.router
-        assert len(router.machines) <= 3 and len(core.kinds) <= 3 and len(core.tally.servers) <= 3
-        assert max(router.table.pairs.shape) <= 3 and len(router.taken) <= 3 and not router.reqs and not core.ended
+        assert len(router.servers) <= 3 and len(core.kinds) <= 3 and len(core.tally.servers) <= 3
+        assert max(router.table.pairs.shape) <= 3 and len(router.served) <= 3 and not router.reqs and not core.ended
         assert len(door.node.pool.count) <= 2 and len(door.node.pool.all) <= 2 * door.node.pool.kept
         assert len(door.loop.watched) < 40 and len([t for t in door.loop.timers if t[2].call is not None]) < 20
 
