--- a/lapiswing/gateway/fronts/chat.py
+++ b/lapiswing/gateway/fronts/chat.py
@@ -142,7 +142,7 @@
                 {"error": {"message": why or "The call failed.", "type": "server_error", "param": None, "code": "aborted"}}
             )
         )
-        self.exchange.keep = False
+        self.exchange.keep_alive = False
         self.exchange.end()
 
     def on_server_answer(self, status, body):
