--- a/lapiswing/http1/client.py
+++ b/lapiswing/http1/client.py
@@ -256,10 +256,25 @@
     """Connections to servers: at most `most` for an address, of which `kept` may wait idle for `idle_us`. What
     comes while all are taken waits in line; its handler's own time-out bounds that."""
 
-    def __init__(self, loop, max_per_address=1024, max_idle_per_address=64, idle_us=10_000_000, connect_us=250_000, settle_us=0, max_total=None):
+    def __init__(
+        self,
+        loop,
+        max_per_address=1024,
+        max_idle_per_address=64,
+        idle_us=10_000_000,
+        connect_us=250_000,
+        settle_us=0,
+        max_total=None,
+    ):
         """`settle_us`: how long a connection rests after an answer, so that bytes that come behind it are seen before
         they could be taken for the next one's. `max_total`: of all addresses together; idle ones make room."""
-        self.loop, self.max_per_address, self.max_idle_per_address, self.idle_us, self.connect_us = loop, max_per_address, max_idle_per_address, idle_us, connect_us
+        self.loop, self.max_per_address, self.max_idle_per_address, self.idle_us, self.connect_us = (
+            loop,
+            max_per_address,
+            max_idle_per_address,
+            idle_us,
+            connect_us,
+        )
         self.settle_us, self.max_total = settle_us, max_total
         self.idle, self.count, self.line, self.all = {}, {}, {}, set()
         self.opened = self.reused = 0
--- a/lapiswing/loop/net.py
+++ b/lapiswing/loop/net.py
@@ -54,7 +54,13 @@
     is given up for that, else the kernel would report readiness without end."""
 
     def __init__(self, loop, sock, on_stream, max_connections=4096, high=262144, low=65536, make_stream=Stream):
-        self.loop, self.sock, self.on_stream, self.max_connections, self.make_stream = loop, sock, on_stream, max_connections, make_stream
+        self.loop, self.sock, self.on_stream, self.max_connections, self.make_stream = (
+            loop,
+            sock,
+            on_stream,
+            max_connections,
+            make_stream,
+        )
         self.high, self.low, self.open, self.refused, self.closed = high, low, 0, 0, False
         self.spare = os.open(os.devnull, os.O_RDONLY)
         self.address = sock.getsockname()
--- a/lapiswing/transfer/peers.py
+++ b/lapiswing/transfer/peers.py
@@ -324,7 +324,9 @@
             self.fetches.pop(transfer, None)
             fetch.link = None
             self.loop.soon(self.pump)
-            return fetch.on_link_failed(self.address, f"{value.code}: {value.text[:200]}", final=value.code in ("unknown", "gone"))
+            return fetch.on_link_failed(
+                self.address, f"{value.code}: {value.text[:200]}", final=value.code in ("unknown", "gone")
+            )
         raise BadFrame("not for a receiver")
 
     def in_flight(self):
@@ -374,7 +376,10 @@
             self.window.chunk(now - asked, size, flight)
             if what == "whole":
                 self.whole(fetch)
-            elif fetch.told_at - receiver.missing >= max(1, len(receiver.received) // TOLD) and "progress" in self.peer_hello.features:
+            elif (
+                fetch.told_at - receiver.missing >= max(1, len(receiver.received) // TOLD)
+                and "progress" in self.peer_hello.features
+            ):
                 fetch.told_at = receiver.missing
                 self.send(PROGRESS, transfer, Progress(len(receiver.received) - receiver.missing))
         self.pump()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -374,7 +374,9 @@
     members = Membership()
     members.update_list(rows)
     assert [r.mode for r in members.set_operator_draining("a", True)[2]] == ["draining"] and members.reason_of("a") == "operator"
-    assert members.set_reported_draining("a", True) is None and members.set_reported_draining("a", False) is None  # no change: it drains in any case
+    assert (
+        members.set_reported_draining("a", True) is None and members.set_reported_draining("a", False) is None
+    )  # no change: it drains in any case
     assert members.update_list(rows) is None and members.reason_of("a") == "operator"
     assert [r.mode for r in members.set_operator_draining("a", False)[2]] == ["ready"]
     members.set_operator_draining("b", True)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -39,7 +39,8 @@
 def test_the_pool_never_opens_more_than_it_may():
     loop = Loop(Clock())
     listeners = [
-        Listener(loop, listen_socket("127.0.0.1", 0), lambda stream, peer: setattr(stream, "owner", RecordingLog())) for _ in range(3)
+        Listener(loop, listen_socket("127.0.0.1", 0), lambda stream, peer: setattr(stream, "owner", RecordingLog()))
+        for _ in range(3)
     ]
     pool = Pool(loop, 10, 4, max_total=5)
     handlers = [Handler() for _ in range(9)]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,16 @@
 
 from lapiswing.loop import Loop, ManualClock
 from lapiswing.membership.starts import ServerStarts
-from lapiswing.node.discovery import AGAIN_US, ASKED_WAIT_MS, LATE_US, MOST_LATE_US, MOST_REFUSED_US, WAIT_MS, Discovery, ServerList
+from lapiswing.node.discovery import (
+    AGAIN_US,
+    ASKED_WAIT_MS,
+    LATE_US,
+    MOST_LATE_US,
+    MOST_REFUSED_US,
+    WAIT_MS,
+    Discovery,
+    ServerList,
+)
 
 MS, S = 1000, 1_000_000
 LIMIT_US = 5 * S
@@ -298,7 +307,8 @@
 def test_gateways_that_start_together_end_their_waits_apart():
     """All in one moment, some were turned away and heard of a change 0.4 s too late."""
     waits = sorted(
-        Discovery(Loop(ManualClock()), None, None, ServerList([], [], None), None, RecordingLog(), True, seed).wait_ms for seed in range(40)
+        Discovery(Loop(ManualClock()), None, None, ServerList([], [], None), None, RecordingLog(), True, seed).wait_ms
+        for seed in range(40)
     )
     assert waits[0] >= ASKED_WAIT_MS * 3 // 4 and waits[-1] <= ASKED_WAIT_MS
     assert max(sum(at <= w < at + 500 for w in waits) for at in waits) <= 10  # of 40, in any half second
