--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -91,7 +91,7 @@
 
 def flood(n):
     members, out = Membership(), Sink()
-    members.list([], 0)
+    members.update_list([], 0)
     group = EndpointGroup("g", "replayable", "all", 0, 1_000_000, 40_000, 60_000, 1.0, 0.3)
     router = Router(
         1,
@@ -111,8 +111,8 @@
     )
     rows = [Server(f"10.1.{i // 250}.{i % 250}:9000", i % 4, i % 16, i % 2, 1.0, 0, "ready") for i in range(n)]
     now, lists, worst, total, most = S, 0, 0.0, 0.0, 0
-    event = members.records("sd", rows, now)
-    while len(members.told) < n and now < 200 * S:
+    event = members.update_records("sd", rows, now)
+    while len(members.published) < n and now < 200 * S:
         if event:
             start = time.perf_counter()
             router.round(now, [event], out)
@@ -121,7 +121,7 @@
         now += 200_000
         event = members.tick(now)
     click.echo(
-        f"flood  {len(members.told)} boxes in {now / S - 1:.0f} s of the clock, {lists} lists, the largest {most} rows; "
+        f"flood  {len(members.published)} boxes in {now / S - 1:.0f} s of the clock, {lists} lists, the largest {most} rows; "
         f"round {worst * 1e3:.0f} ms at most, {total / max(1, lists) * 1e3:.0f} ms on average"
     )
 
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-from platform_door import SETTINGS  # noqa: E402
+from platform_harness import SETTINGS  # noqa: E402
 
 from lapiswing.http1 import Pool  # noqa: E402
 from lapiswing.lab.status import StatusOnly  # noqa: E402
@@ -125,7 +125,7 @@
             at = [time.process_time()]
             node = Node(str(path), type("Log", (), {"__getattr__": lambda self, name: lambda *a, **k: None})())
             at.append(time.process_time())
-            node.take_known()
+            node.load_known_list()
             node.core.turn()
             at.append(time.process_time())
         rows.append((servers, at[1] - at[0], at[2] - at[1]))
--- a/benchmarks/scale/hollow_gateways.py
+++ b/benchmarks/scale/hollow_gateways.py
@@ -45,11 +45,11 @@
             self.nodes.append(node)
 
     def ready(self):
-        return sum(len(node.rows.rows) > 0 for node in self.nodes)
+        return sum(len(node.server_list.rows) > 0 for node in self.nodes)
 
     def report(self):
         return {
             "heard": [node.core.router.heard for node in self.nodes],
             "calls": sum(node.discovery.calls for node in self.nodes),
-            "opened": sum(node.pool.opened + node.asking.opened for node in self.nodes),
+            "opened": sum(node.pool.opened + node.discovery_pool.opened for node in self.nodes),
         }
--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -140,7 +140,11 @@
     """`n` streams at once, each asking anew when its answer has ended."""
 
     def __init__(self, loop, port, n, seconds):
-        self.loop, self.pool, self.port = loop, Pool(loop, most=20000, kept=20000, connect_us=5_000_000), port
+        self.loop, self.pool, self.port = (
+            loop,
+            Pool(loop, max_per_address=20000, max_idle_per_address=20000, connect_us=5_000_000),
+            port,
+        )
         self.first = HdrHistogram(1, 60_000_000, 3)
         self.reqs = self.events = self.bad = 0
         self.bodies = [
--- a/lapiswing/admin/facts.py
+++ b/lapiswing/admin/facts.py
@@ -27,13 +27,13 @@
         machines = getattr(core.router, "machines", {})
         ramp = self.gateway.settings.rules.ramp_ms * MS
         out = {}
-        for name, row in core.membership.told.items():
+        for name, row in core.membership.published.items():
             tally, machine = core.tally.box(name), machines.get(name)
             report = tally.report
             out[name] = {
                 "role": self.role(row.kind),
                 "mode": row.mode,
-                "why": core.membership.why(name),
+                "why": core.membership.reason_of(name),
                 "words": words.get(name),
                 "zone": row.zone,
                 "cell": row.cell,
@@ -116,7 +116,7 @@
             "starts_unix_ms": self.starts,
             "unix_ms": time.time_ns() // 1_000_000,
             "last_end": self.last_end,
-            "doubts": core.membership.doubts(),
+            "doubts": core.membership.suspected_sources(),
             "records": []
             if gateway.discovery is None
             else [(s, gateway.discovery.states.get(s, "none"), b.problem) for s, b in gateway.discovery.browsers.items()],
--- a/lapiswing/admin/serve.py
+++ b/lapiswing/admin/serve.py
@@ -431,14 +431,14 @@
 
     def order(self, what, draining):
         core = self.core
-        if what not in core.membership.told:
+        if what not in core.membership.published:
             raise Impossible(f"no box {what!r} is listed")
-        if not draining and what not in core.membership.ordered:
-            why = core.membership.why(what)
+        if not draining and what not in core.membership.operator_drains:
+            why = core.membership.reason_of(what)
             raise Impossible(f"{what} was not drained by an operator" + (f"; it drains by the {why}'s word" if why else ""))
 
         def do():
-            core.tell_members(core.membership.order(what, draining))
+            core.tell_members(core.membership.set_operator_draining(what, draining))
             return f"{what} {'drains' if draining else 'is taken back'}"
 
         return do
--- a/lapiswing/fleet/transport.py
+++ b/lapiswing/fleet/transport.py
@@ -91,7 +91,7 @@
         """The stream takes only so much at a time that a stall leaves what waits here, where the oldest can
         go."""
         stream, most = self.stream, self.transport.most_waiting // 4
-        while stream is not None and self.queue and not stream.full and stream.waiting < most:
+        while stream is not None and self.queue and not stream.full and stream.unsent_bytes < most:
             data = self.queue.popleft()
             self.waiting -= len(data)
             stream.write(SIZE.pack(len(data)))
@@ -115,8 +115,8 @@
 
     def look(self):
         now = self.loop.now
-        waits = self.stream is not None and (self.stream.waiting or self.queue)
-        if waits and now - self.stream.moved_us > STALL_US:
+        waits = self.stream is not None and (self.stream.unsent_bytes or self.queue)
+        if waits and now - self.stream.last_progress_us > STALL_US:
             self.transport.counts["dropped"] += len(self.queue)
             return self.end()
         if now - self.used_us > IDLE_US:
@@ -146,7 +146,7 @@
             self.dial = None
         if self.stream is not None:
             stream, self.stream = self.stream, None
-            stream.abort() if stream.waiting else stream.close()
+            stream.abort() if stream.unsent_bytes else stream.close()
         self.queue.clear()
         self.waiting = 0
 
--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -383,7 +383,7 @@
 
     def place_of(self, server):
         """Its zone and cell, by the list as the decisions know it."""
-        row = self.membership.told.get(server)
+        row = self.membership.published.get(server)
         return (row.zone, row.cell) if row is not None else (None, None)
 
     def noted(self, req, rid, number, out, send, why):
@@ -587,7 +587,7 @@
             report = {**report, "held": report[self.load_memory]}
         self.events.append(("outcome", rid, number, out.server, code, latency, ended, remark, report))
         if report is not None and "draining" in report:
-            self.tell_members(self.membership.said(out.server, report["draining"] > 0))
+            self.tell_members(self.membership.set_reported_draining(out.server, report["draining"] > 0))
         if req.over:
             self.forget(req)
         elif code == "done":
@@ -709,27 +709,27 @@
         for row in news[2]:
             self.kinds[row.id] = row.kind
             self.tally.box(row.id).listed(row.started_us)
-            self.changed("box", box=row.id, mode=row.mode, why=self.membership.why(row.id))
+            self.changed("box", box=row.id, mode=row.mode, why=self.membership.reason_of(row.id))
         self.events.append(news)
         now = self.loop.clock.now_us()
         self.guards.listed(news[2], now)
         if news[1] != "update":
-            self.guards.gone(self.kinds.keys() - self.membership.told.keys(), now)
+            self.guards.gone(self.kinds.keys() - self.membership.published.keys(), now)
         if news[1] != "update" or any(row.mode != "ready" for row in news[2]):
             self.withdraw_unsent()
         if news[1] != "update":
-            self.departed = self.kinds.keys() - self.membership.told.keys()
+            self.departed = self.kinds.keys() - self.membership.published.keys()
         self.lines.info(
             "boxes",
             kind=news[1],
-            ready=sum(r.mode == "ready" for r in self.membership.told.values()),
+            ready=sum(r.mode == "ready" for r in self.membership.published.values()),
             rows=[f"{r.id} {r.mode}" for r in news[2]][:20],
         )
 
     def withdraw_unsent(self):
         """Attempts that still wait for their connection to a server that drains or has left are rejected in its place:
         they have not begun, and would begin after the grace. Could harm nothing: each is proved never to have run."""
-        told = self.membership.told
+        told = self.membership.published
         for req in list(self.reqs.values()):
             for number, out in list(req.outs.items()):
                 row = told.get(out.server)
@@ -749,13 +749,13 @@
             del self.kinds[server], self.tally.boxes[server]
 
     def list_boxes(self, rows):
-        self.tell_members(self.membership.list(rows, self.loop.clock.now_us()))
+        self.tell_members(self.membership.update_list(rows, self.loop.clock.now_us()))
 
     def records(self, source, rows):
         """All that a source of records names now."""
-        doubts = self.membership.doubts()
-        self.tell_members(self.membership.records(source, rows, self.loop.clock.now_us()))
-        for name in self.membership.doubts():
+        doubts = self.membership.suspected_sources()
+        self.tell_members(self.membership.update_records(source, rows, self.loop.clock.now_us()))
+        for name in self.membership.suspected_sources():
             if name not in doubts:
                 self.lines.warning("records doubted", source=name, named=len(rows))
                 self.changed("gateway", text=f"{name} lost most of its boxes at once and is doubted for now")
@@ -765,11 +765,11 @@
 
     def ask_drained(self):
         """Boxes that said themselves that they drain: has that ended?"""
-        for server in self.membership.to_ask():
+        for server in self.membership.servers_reporting_drain():
             self.engine.probe(
                 server,
                 lambda code, report, server=server: (
-                    self.tell_members(self.membership.said(server, (report or {}).get("draining", 1.0) > 0))
+                    self.tell_members(self.membership.set_reported_draining(server, (report or {}).get("draining", 1.0) > 0))
                     if code == "done"
                     else None
                 ),
--- a/lapiswing/gateway/fronts/chat.py
+++ b/lapiswing/gateway/fronts/chat.py
@@ -140,7 +140,7 @@
         self.exchange.send(
             event({"error": {"message": why or "The call failed.", "type": "server_error", "param": None, "code": "aborted"}})
         )
-        self.exchange.keep = False
+        self.exchange.keep_alive = False
         self.exchange.end()
 
     def on_box_answer(self, status, body):
--- a/lapiswing/gateway/fronts/listener.py
+++ b/lapiswing/gateway/fronts/listener.py
@@ -12,7 +12,7 @@
             self.exchange.on_drained = self.drained
 
     def look(self):
-        self.exchange.look()
+        self.exchange.poll_client()
 
     def left(self):
         self.core.left(self.req, self)
--- a/lapiswing/gateway/fronts/websocket.py
+++ b/lapiswing/gateway/fronts/websocket.py
@@ -279,8 +279,8 @@
     def overdue(self, now):
         s = self.front.settings
         if (
-            self.stream.waiting
-            and now - self.stream.moved_us > s.stall_ms * MS
+            self.stream.unsent_bytes
+            and now - self.stream.last_progress_us > s.stall_ms * MS
             or self.closing
             and (now - self.heard_us > 5_000_000)
         ):
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -113,7 +113,7 @@
         if self.store is not None:
             self.remember()
         self.read_boxes()
-        if self.stamp is None and not self.core.membership.told:
+        if self.stamp is None and not self.core.membership.published:
             self.core.list_boxes(self.rows(self.settings.box))
         if self.settings.dns.service or self.settings.dns.srv:
             self.discover()
@@ -135,7 +135,7 @@
         if s_admin(self.settings.admin):
             self.admin = Admin(self, self.log)
             self.admin.start()
-        self.log.info("listening", host=l.host, port=self.port, boxes=len(self.core.membership.told))
+        self.log.info("listening", host=l.host, port=self.port, boxes=len(self.core.membership.published))
 
     def discover(self):
         """Looks for boxes by records, from now on."""
@@ -302,7 +302,7 @@
         if (self.sessions.connections or self.sessions.unfinished()) and self.loop.clock.now_us() < self.stop_us:
             return self.loop.call_later(20 * MS, self.finish)  # they are sent away one by one
         # What was written last is still on its way to clients.
-        if any(c.stream.waiting for c in self.server.connections) and self.patience():
+        if any(c.stream.unsent_bytes for c in self.server.connections) and self.patience():
             return self.loop.call_later(20 * MS, self.finish)
         self.log.info(
             "stopped",
--- a/lapiswing/http1/client.py
+++ b/lapiswing/http1/client.py
@@ -256,11 +256,26 @@
     """Connections to servers: at most `most` for an address, of which `kept` may wait idle for `idle_us`. What
     comes while all are taken waits in line; its handler's own time-out bounds that."""
 
-    def __init__(self, loop, most=1024, kept=64, idle_us=10_000_000, connect_us=250_000, settle_us=0, most_all=None):
+    def __init__(
+        self,
+        loop,
+        max_per_address=1024,
+        max_idle_per_address=64,
+        idle_us=10_000_000,
+        connect_us=250_000,
+        settle_us=0,
+        max_total=None,
+    ):
         """`settle_us`: how long a connection rests after an answer, so that bytes that come behind it are seen before
-        they could be taken for the next one's. `most_all`: of all addresses together; idle ones make room."""
-        self.loop, self.most, self.kept, self.idle_us, self.connect_us = loop, most, kept, idle_us, connect_us
-        self.settle_us, self.most_all = settle_us, most_all
+        they could be taken for the next one's. `max_total`: of all addresses together; idle ones make room."""
+        self.loop, self.max_per_address, self.max_idle_per_address, self.idle_us, self.connect_us = (
+            loop,
+            max_per_address,
+            max_idle_per_address,
+            idle_us,
+            connect_us,
+        )
+        self.settle_us, self.max_total = settle_us, max_total
         self.idle, self.count, self.line, self.all = {}, {}, {}, set()
         self.opened = self.reused = 0
         self.stuck = Stuck()
@@ -287,7 +302,7 @@
             self.reused += 1
             conn.start(exchange)
             return exchange
-        if self.count.get(address, 0) >= self.most:
+        if self.count.get(address, 0) >= self.max_per_address:
             self.line.setdefault(address, deque()).append(exchange)
         else:
             self.open(exchange)
@@ -318,7 +333,7 @@
 
     def open(self, exchange):
         address = exchange.address
-        if self.most_all is not None and sum(self.count.values()) >= self.most_all and not self.make_room():
+        if self.max_total is not None and sum(self.count.values()) >= self.max_total and not self.make_room():
             # Guards what else needs descriptors here. Told at once, as what waits in line may hold a server's state.
             return self.loop.soon(exchange.fail, "local", NO_DESCRIPTOR)
         self.count[address] = self.count.get(address, 0) + 1
@@ -348,7 +363,7 @@
 
     def next(self, address):
         line = self.line.get(address)
-        while line and self.count.get(address, 0) < self.most:
+        while line and self.count.get(address, 0) < self.max_per_address:
             self.open(line.popleft())
         if not line:
             self.line.pop(address, None)
@@ -361,14 +376,14 @@
     def free(self, conn):
         if conn.stream.closed:
             return
-        if not conn.keep or conn.stream.waiting:
+        if not conn.keep or conn.stream.unsent_bytes:
             return conn.stream.close()
         conn.stream.resume()
         line = self.line.get(conn.address)
         if line:
             return conn.start(line.popleft())
         idle = self.idle.setdefault(conn.address, [])
-        if len(idle) >= self.kept:
+        if len(idle) >= self.max_idle_per_address:
             return conn.stream.close()
         conn.idle_us = self.loop.now
         idle.append(conn)
--- a/lapiswing/http1/server.py
+++ b/lapiswing/http1/server.py
@@ -45,7 +45,7 @@
         self.path = target.split(b"?", 1)[0]
         self.body, self.begun, self.over, self.chunked = b"", False, False, False
         self.arrived_us = conn.server.loop.now  # when its first byte came in, at the earliest
-        self.keep = (
+        self.keep_alive = (
             b"close" not in tokens(fields, b"connection") if version == b"1.1" else b"keep-alive" in tokens(fields, b"connection")
         )
 
@@ -56,7 +56,7 @@
     def full(self):
         return self.conn.stream.full
 
-    def look(self):
+    def poll_client(self):
         """Hears now, and not at the loop's next turn, whether its client has gone."""
         if not self.over:
             self.conn.stream.catch_up()
@@ -67,8 +67,8 @@
             return
         self.begun = True
         fields = [(b"content-type", content_type), (b"content-length", b"%d" % len(body)), *more]
-        if not self.keep or self.conn.ends():
-            self.keep = False
+        if not self.keep_alive or self.conn.ends():
+            self.keep_alive = False
             fields.append((b"connection", b"close"))
         self.write(response_head(status, fields) + (b"" if self.method == b"HEAD" else body))
         self.end()
@@ -80,12 +80,12 @@
         """Starts an answer of unknown length: chunked, or to a 1.0 client until the connection's end."""
         self.begun = True
         self.chunked = self.version == b"1.1"
-        self.keep = self.keep and not self.conn.ends()
+        self.keep_alive = self.keep_alive and not self.conn.ends()
         if self.chunked:
             fields = [*fields, (b"transfer-encoding", b"chunked")]
         else:
-            self.keep = False
-        if not self.keep:
+            self.keep_alive = False
+        if not self.keep_alive:
             fields = [*fields, (b"connection", b"close")]
         self.write(response_head(status, fields))
 
@@ -178,7 +178,7 @@
             self.passed_over += len(self.raw)
             self.raw.clear()
             self.arrivals.clear()
-            self.current.keep = False
+            self.current.keep_alive = False
             # Past what could have been kept, more than any one request may be.
             if self.passed_over > limits.pipelined_bytes + limits.head_bytes + limits.body_bytes:
                 self.stream.abort()
@@ -299,7 +299,7 @@
             if exchange.begun:
                 exchange.abort()
             else:
-                exchange.keep = False
+                exchange.keep_alive = False
                 exchange.json(
                     500,
                     {"error": {"message": "internal error", "type": "server_error", "param": None, "code": "internal_error"}},
@@ -311,7 +311,7 @@
             return
         self.current = None
         # A client that was not told of the end (its answer began before) may have sent its next request: that is taken.
-        if not exchange.keep or self.ends():
+        if not exchange.keep_alive or self.ends():
             return self.close()
         self.enter("idle")
         if self.raw:
@@ -340,7 +340,7 @@
         self.cut_short = True
         exchange = self.exchange or Exchange(self, b"GET", b"*", [], b"1.1")
         self.exchange, self.parser = None, None
-        exchange.keep = False
+        exchange.keep_alive = False
         self.current = exchange
         self.server.refused += 1
         exchange.json(status, {"error": {"message": why, "type": "invalid_request_error", "param": None, "code": "bad_http"}})
@@ -350,14 +350,14 @@
         if self.phase in ("head", "body"):
             self.in_haste = True
             self.refuse(503, "connections run short")
-        elif not self.stream.waiting:  # else the end of its last answer is still on its way to a slow client
+        elif not self.stream.unsent_bytes:  # else the end of its last answer is still on its way to a slow client
             self.stream.abort()
 
     def busy(self):
         stream = self.stream
         if stream.closing:
-            return bool(stream.waiting) or stream.lingering is not None
-        return self.current is not None or self.exchange is not None or bool(stream.waiting) or self.heard_more()
+            return bool(stream.unsent_bytes) or stream.lingering is not None
+        return self.current is not None or self.exchange is not None or bool(stream.unsent_bytes) or self.heard_more()
 
     def enter(self, phase):
         if phase != self.phase:
@@ -370,7 +370,7 @@
             return  # it has its own time
         if self.phase == "idle" and not self.stream.closing and self.stream.pending():
             return  # what has come in is read first, in the next turn
-        if self.stream.waiting and now - self.stream.moved_us > limits.stall_us:
+        if self.stream.unsent_bytes and now - self.stream.last_progress_us > limits.stall_us:
             return self.stream.abort()
         if not self.served and limits.first_us is not None and now - self.born_us > limits.first_us:
             if self.stream.closing or self.phase == "idle" or self.current is not None:
--- a/lapiswing/loop/net.py
+++ b/lapiswing/loop/net.py
@@ -53,8 +53,14 @@
     while the process has no descriptor left, a connection is accepted and closed at once: the spare descriptor
     is given up for that, else the kernel would report readiness without end."""
 
-    def __init__(self, loop, sock, on_stream, most=4096, high=262144, low=65536, make=Stream):
-        self.loop, self.sock, self.on_stream, self.most, self.make = loop, sock, on_stream, most, make
+    def __init__(self, loop, sock, on_stream, max_connections=4096, high=262144, low=65536, make_stream=Stream):
+        self.loop, self.sock, self.on_stream, self.max_connections, self.make_stream = (
+            loop,
+            sock,
+            on_stream,
+            max_connections,
+            make_stream,
+        )
         self.high, self.low, self.open, self.refused, self.closed = high, low, 0, 0, False
         self.spare = os.open(os.devnull, os.O_RDONLY)
         self.address = sock.getsockname()
@@ -74,14 +80,14 @@
 
     def has_room(self):
         """Whether to accept now; where all places are taken it looks for some."""
-        if self.open < self.most or self.make_room is None:
+        if self.open < self.max_connections or self.make_room is None:
             return True
         # Once a turn: what was accepted in this one may have its request waiting, and is read before the next.
         if self.roomed_us == self.loop.now:
             return False
         self.roomed_us = self.loop.now
         self.make_room()
-        self.stuck = self.stuck + 1 if self.open >= self.most else 0
+        self.stuck = self.stuck + 1 if self.open >= self.max_connections else 0
         return not 0 < self.stuck < STUCK
 
     def accept_one(self, closing=False):
@@ -92,12 +98,12 @@
             return False
         except OSError as problem:
             return self.after_failure(problem, closing)
-        if self.open >= self.most:
+        if self.open >= self.max_connections:
             self.turn_away(sock)
             return True
         self.open += 1
         try:
-            stream = self.make(self.loop, sock, high=self.high, low=self.low)
+            stream = self.make_stream(self.loop, sock, high=self.high, low=self.low)
         except (OSError, ValueError):  # with TLS: a peer that is gone already
             sock.close()
             self.open -= 1
@@ -182,8 +188,8 @@
     again for `timeout_us`, and for `wait_us` as long as `common(self)` says that it is not this address alone; `own` is then
     true, and `why` says nothing of the peer."""
 
-    def __init__(self, loop, address, timeout_us, done, make=Stream, wait_us=0, common=None):
-        self.loop, self.address, self.timeout_us, self.done, self.make = loop, address, timeout_us, done, make
+    def __init__(self, loop, address, timeout_us, done, make_stream=Stream, wait_us=0, common=None):
+        self.loop, self.address, self.timeout_us, self.done, self.make_stream = loop, address, timeout_us, done, make_stream
         self.common = common
         self.begun_us = loop.clock.now_us()
         self.until_us = self.begun_us + max(wait_us, timeout_us)
@@ -238,7 +244,7 @@
         stream = None
         if why is None:
             try:
-                stream = self.make(self.loop, self.sock)
+                stream = self.make_stream(self.loop, self.sock)
             except (OSError, ValueError) as problem:
                 why, self.own = f"connect: {problem}", True
         if stream is not None:
--- a/lapiswing/loop/stream.py
+++ b/lapiswing/loop/stream.py
@@ -46,9 +46,9 @@
         except OSError:
             pass  # a Unix socket has no such option
         self.loop, self.sock, self.owner, self.high, self.low = loop, sock, owner, high, low
-        self.out, self.waiting, self.full = deque(), 0, False
+        self.out, self.unsent_bytes, self.full = deque(), 0, False
         self.sent = self.received = 0
-        self.moved_us = loop.clock.now_us()  # when the peer last took or gave bytes
+        self.last_progress_us = loop.clock.now_us()  # when the peer last took or gave bytes
         self.reading, self.closed, self.closing, self.ended = True, False, False, False
         self.events = 0
         self.linger_us = self.linger_left = 0
@@ -118,7 +118,7 @@
                 return
             except OSError as problem:
                 return self.transfer_failed(problem)
-            self.moved_us = self.loop.now
+            self.last_progress_us = self.loop.now
             if data is None:
                 self.received += size
                 self.target = self.target[size:]
@@ -167,10 +167,10 @@
         if self.closed or self.closing or not data:
             return
         if not self.out:
-            self.moved_us = self.loop.now
+            self.last_progress_us = self.loop.now
         self.out.append(data)
-        self.waiting += len(data)
-        if self.waiting > self.high:
+        self.unsent_bytes += len(data)
+        if self.unsent_bytes > self.high:
             self.full = True
         self.loop.dirty.add(self)
 
@@ -204,9 +204,9 @@
                 return self.transfer_failed(problem)
             if not done:  # a file that has become shorter while it is being sent: what was promised can't come
                 return self.drop("file ended early")
-            self.moved_us = self.loop.now
+            self.last_progress_us = self.loop.now
             self.sent += done
-            self.waiting -= done
+            self.unsent_bytes -= done
             while done:
                 head = out[0]
                 if len(head) > done:
@@ -219,7 +219,7 @@
                 out.popleft()
         if self.blocked or self.events & selectors.EVENT_WRITE:
             self.update()
-        if self.full and self.waiting <= self.low:
+        if self.full and self.unsent_bytes <= self.low:
             self.full = False
             self.owner.on_drained()
         if not self.out and self.closing and self.lingering is None:
@@ -267,6 +267,6 @@
         self.loop.dirty.discard(self)
         self.sock.close()
         self.out.clear()
-        self.waiting = 0
+        self.unsent_bytes = 0
         owner, self.owner = self.owner, None  # no cycle is left behind
         self.loop.guard(None, owner.on_closed, why)
--- a/lapiswing/membership/merge.py
+++ b/lapiswing/membership/merge.py
@@ -47,20 +47,20 @@
 class Membership:
     def __init__(self, limits=Limits()):
         self.limits = limits
-        self.listed, self.drains, self.ordered, self.told = {}, set(), set(), {}
+        self.listed, self.reported_drains, self.operator_drains, self.published = {}, set(), set(), {}
         self.sources, self.admitted, self.room, self.room_us = {}, set(), float(ADMIT), 0
         self.flaps, self.held, self.reasons, self.now_us = {}, {}, {}, 0
         self.counts = {"vanished": 0, "doubted": 0, "held back": 0, "flaps": 0, "kinds not believed": 0}
 
     # ---- words
 
-    def list(self, rows, now_us=None):
+    def update_list(self, rows, now_us=None):
         """The whole list. -> what the decisions are to be told: an event, or None where nothing changes."""
         rows = {row.id: row for row in rows}
         self.listed = rows
-        return self.news(now_us, first=not self.told)
+        return self.news(now_us, first=not self.published)
 
-    def records(self, source, rows, now_us):
+    def update_records(self, source, rows, now_us):
         """All that a source of records names now, as rows (mode ready or draining). -> event or None."""
         first = source not in self.sources
         src = self.sources.setdefault(source, Source())
@@ -98,18 +98,18 @@
             self.counts["flaps"] += 1
             self.held[name] = now_us + self.limits.flap_us
 
-    def said(self, name, draining, now_us=None):
+    def set_reported_draining(self, name, draining, now_us=None):
         """A box's own word. -> event or None."""
-        if name not in self.told or draining == (name in self.drains):
+        if name not in self.published or draining == (name in self.reported_drains):
             return None
-        (self.drains.add if draining else self.drains.discard)(name)
+        (self.reported_drains.add if draining else self.reported_drains.discard)(name)
         return self.news(now_us)
 
-    def order(self, name, draining, now_us=None):
+    def set_operator_draining(self, name, draining, now_us=None):
         """An operator's word. -> event or None. Raises KeyError: no such box."""
-        if name not in self.told:
+        if name not in self.published:
             raise KeyError(name)
-        (self.ordered.add if draining else self.ordered.discard)(name)
+        (self.operator_drains.add if draining else self.operator_drains.discard)(name)
         return self.news(now_us)
 
     def tick(self, now_us):
@@ -149,9 +149,9 @@
             )
             if said[0][0] == "list" and said[0][2] == "gone":
                 mode, why = "gone", "list"
-            elif name in self.ordered:
+            elif name in self.operator_drains:
                 mode, why = "draining", "operator"
-            elif name in self.drains:
+            elif name in self.reported_drains:
                 mode, why = "draining", "box"
             elif draining:
                 mode, why = "draining", draining[0][3] or draining[0][0]
@@ -193,28 +193,28 @@
 
     def news(self, now_us=None, first=False):
         self.now_us = self.now_us if now_us is None else max(self.now_us, now_us)
-        before = {name: row.started_us for name, row in self.told.items()}
+        before = {name: row.started_us for name, row in self.published.items()}
         now = self.merged()
         again = False
-        for name in list(self.drains):  # a box's own word ends with a later start, or when nobody names it
+        for name in list(self.reported_drains):  # a box's own word ends with a later start, or when nobody names it
             if name not in now or now[name].started_us > before.get(name, now[name].started_us):
-                self.drains.discard(name)
+                self.reported_drains.discard(name)
                 again = True
-        if self.told or first:
-            kept = {n for n in self.ordered if n in now}
-            again, self.ordered = again or kept != self.ordered, kept
+        if self.published or first:
+            kept = {n for n in self.operator_drains if n in now}
+            again, self.operator_drains = again or kept != self.operator_drains, kept
         if again:
             now = self.merged()
-        if now == self.told and not first:
+        if now == self.published and not first:
             return None
-        whole = first or now.keys() != self.told.keys()
-        changed = list(now.values()) if whole else [row for name, row in now.items() if row != self.told[name]]
-        self.told = now
+        whole = first or now.keys() != self.published.keys()
+        changed = list(now.values()) if whole else [row for name, row in now.items() if row != self.published[name]]
+        self.published = now
         return ("servers", "restored" if first else "replace" if whole else "update", changed)
 
     # ---- for those who look
 
-    def why(self, name):
+    def reason_of(self, name):
         """Why a box is not simply ready, or None."""
         return self.reasons.get(name)
 
@@ -228,14 +228,14 @@
                 out.setdefault(name, {})[source] = row.mode
             for name, (at, _) in src.lost.items():
                 out.setdefault(name, {})[source] = f"not named for {(self.now_us - at) // S} s"
-        for name in self.drains:
+        for name in self.reported_drains:
             out.setdefault(name, {})["box"] = "draining"
-        for name in self.ordered:
+        for name in self.operator_drains:
             out.setdefault(name, {})["operator"] = "draining"
         return out
 
-    def doubts(self):
+    def suspected_sources(self):
         return [n for n, s in self.sources.items() if s.doubt_us is not None]
 
-    def to_ask(self):
-        return sorted(self.drains)
+    def servers_reporting_drain(self):
+        return sorted(self.reported_drains)
--- a/lapiswing/node/__main__.py
+++ b/lapiswing/node/__main__.py
@@ -20,7 +20,7 @@
     path = os.environ.get(CONFIG)
     if not path:
         return f"{CONFIG} is not set"
-    node = Node.when_configured(path, start_logs("info"))
+    node = Node.load_with_retries(path, start_logs("info"))
     node.watch_signals()  # before it listens: a signal then must find its handler
     if EARLY.hung_up:
         node.loop.soon(node.reload)
--- a/lapiswing/node/discovery.py
+++ b/lapiswing/node/discovery.py
@@ -56,7 +56,7 @@
 ROW, NAME = msgspec.json.Decoder(Endpoint), msgspec.json.Decoder(Named)
 
 
-class Rows:
+class ServerList:
     """The list as it stands, by name. `take` raises ValueError where no row can be read, and then changes
     nothing. A server whose own row can't be read gets nothing new, as if it had left: it may be draining.
     `faults` tells of such rows."""
--- a/lapiswing/node/front.py
+++ b/lapiswing/node/front.py
@@ -94,7 +94,7 @@
                 raise Wrong("only POST", 405)
             spec = self.spec(exchange)
         except Wrong as problem:
-            exchange.keep = False  # what stands behind it is not read: it may be hundreds more of its kind
+            exchange.keep_alive = False  # what stands behind it is not read: it may be hundreds more of its kind
             return exchange.json(problem.status, {"error": {"message": str(problem)}})
         listener = ResponseWriter(exchange)
         listener.follow(self.core, self.core.take(spec, listener))
--- a/lapiswing/node/reach.py
+++ b/lapiswing/node/release_targets.py
@@ -16,7 +16,7 @@
     return min(AT_ONCE, 1 << wave)
 
 
-class Reach:
+class ReleaseTargets:
     """What was heard of servers, and when; times in us of one clock. `salt`: this gateway's own, so that
     gateways in one trouble do not all turn to the same server."""
 
--- a/lapiswing/node/serve.py
+++ b/lapiswing/node/serve.py
@@ -19,9 +19,9 @@
 from lapiswing.membership.starts import ServerStarts
 from lapiswing.node import config as configs
 from lapiswing.node import view
-from lapiswing.node.discovery import DECODER, Discovery, Rows
+from lapiswing.node.discovery import DECODER, Discovery, ServerList
 from lapiswing.node.front import Front
-from lapiswing.node.reach import Reach
+from lapiswing.node.release_targets import ReleaseTargets
 from lapiswing.node.servers import MOST, Servers
 from lapiswing.policy import Router
 
@@ -114,16 +114,16 @@
             idle_us * 6 // 10,
             limits.get("connect_timeout_us") or 250 * MS,
             settle_us=20 * MS,
-            most_all=to_servers,
+            max_total=to_servers,
         )
-        self.asking = Pool(self.loop, 4, 1, 60_000 * MS, 1000 * MS)
+        self.discovery_pool = Pool(self.loop, 4, 1, 60_000 * MS, 1000 * MS)
         report = settings.get("report") or {}
         self.servers = Servers(
             self.loop,
             self.pool,
             report.get("names") or [],
             bool(report.get("names")),
-            Reach(settings.get("az", 0), int(self.config.seed, 16)),
+            ReleaseTargets(settings.get("az", 0), int(self.config.seed, 16)),
             settings["family_info"].get("let_go_by_us"),
         )
         margin_us = settings.get("resolution_us") or MS
@@ -145,9 +145,9 @@
         )
         self.core.line_each = False
         self.pool.stuck.on_change = self.core.stuck
-        self.rows = Rows(settings["kinds"], settings["zones"], ServerStarts(wall_clock.offset_us(self.loop.clock)))
+        self.server_list = ServerList(settings["kinds"], settings["zones"], ServerStarts(wall_clock.offset_us(self.loop.clock)))
         tenants = [str(tenant.get("name")) for tenant in settings.get("tenants") or []]
-        self.front = Front(self.core, settings["groups"], tenants, lambda: bool(self.rows.rows) and not self.stopping)
+        self.front = Front(self.core, settings["groups"], tenants, lambda: bool(self.server_list.rows) and not self.stopping)
         self.server = Server(
             self.loop,
             self.front.app,
@@ -169,7 +169,7 @@
         self.stopping, self.stopped_us = False, 0
 
     @classmethod
-    def when_configured(cls, path, log):
+    def load_with_retries(cls, path, log):
         """A Node, once the configuration can be read: a file that is being written just now is read again for a moment. Raises
         ConfigError on what stays bad, and at once on a field that has a fault."""
         for _ in range(START_READS):
@@ -183,13 +183,13 @@
 
     def start(self):
         """Learns what is known, asks discovery and listens, now or as soon as the port can be had."""
-        self.take_known()
+        self.load_known_list()
         self.core.turn()
         self.discovery = Discovery(
             self.loop,
-            self.asking,
+            self.discovery_pool,
             address_of(self.config.discovery),
-            self.rows,
+            self.server_list,
             self.on_rows,
             self.log,
             self.asked,
@@ -212,7 +212,7 @@
         self.listener.make_room = self.server.make_room
         self.listener.on_refused = self.server.answer_refused
         self.server.listener = self.listener
-        self.log.info("listening", at=self.config.listen, boxes=len(self.rows.rows), sockets=self.config.limits.sockets)
+        self.log.info("listening", at=self.config.listen, boxes=len(self.server_list.rows), sockets=self.config.limits.sockets)
 
     def cant_listen(self, problem):
         """What may pass, such as a process before this one that still has the port, is waited for."""
@@ -225,19 +225,19 @@
             self.log.warning("can't listen yet", at=self.config.listen, why=problem.strerror)
         self.loop.call_later(LISTEN_AGAIN_US, self.listen)
 
-    def take_known(self):
+    def load_known_list(self):
         if self.config.known is None:
             return
         try:
-            self.rows.take(DECODER.decode(msgspec.json.encode(self.config.known)), self.loop.clock.now_us())
+            self.server_list.take(DECODER.decode(msgspec.json.encode(self.config.known)), self.loop.clock.now_us())
         except (ValueError, msgspec.MsgspecError) as problem:
             return self.log.warning("known list can't be read", why=str(problem))
-        self.rows.tell(self.log)
+        self.server_list.tell(self.log)
         self.on_rows()
 
     def on_rows(self):
-        self.servers.listed(self.rows.addresses, {name: row.zone for name, row in self.rows.rows.items()})
-        self.core.list_boxes(list(self.rows.rows.values()))
+        self.servers.listed(self.server_list.addresses, {name: row.zone for name, row in self.server_list.rows.items()})
+        self.core.list_boxes(list(self.server_list.rows.values()))
 
     # ---- signals
 
@@ -303,7 +303,7 @@
         if (
             self.core.reqs
             or self.servers.releasing
-            or (any(c.stream.waiting for c in self.server.connections) if late else self.server.busy())
+            or (any(c.stream.unsent_bytes for c in self.server.connections) if late else self.server.busy())
         ):
             return self.loop.call_later(20 * MS, self.finish)
         self.server.drain()
@@ -336,4 +336,4 @@
         self.pool.close()
         if self.discovery:
             self.discovery.stop()
-        self.asking.close()
+        self.discovery_pool.close()
--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -7,7 +7,7 @@
 
 from lapiswing.engine.forward import Exchanged
 from lapiswing.http1.wire import get
-from lapiswing.node import reach
+from lapiswing.node import release_targets
 from lapiswing.node.names import DEADLINE, DECLINED, HEALTHY, ID, IDEMPOTENCY_KEY, LOAD, LOAD_LINE, LOADED, ROOMS
 from lapiswing.node.outcomes import load_of, of_failure, of_status
 
@@ -17,7 +17,7 @@
 STALL_US = 3000 * MS  # the rest of a begun chunk is on its way; one that takes longer is no chunk
 SETTLE_US = 20 * MS  # what was sent before a release has arrived by then
 LET_GO_US = 500 * MS  # where the settings name no time for it
-WAVES = 2 * reach.PARTS  # what no server has heard by twice that time is given up
+WAVES = 2 * release_targets.PARTS  # what no server has heard by twice that time is given up
 PROBE_US = 250 * MS
 
 
@@ -222,12 +222,12 @@
     def go(self):
         if self.wave == WAVES or not self.servers.addresses:
             return self.end()
-        self.timer = self.servers.loop.call_later(self.servers.let_go_us // reach.PARTS, self.go)
-        for call in self.out[-reach.AT_ONCE :]:
+        self.timer = self.servers.loop.call_later(self.servers.let_go_us // release_targets.PARTS, self.go)
+        for call in self.out[-release_targets.AT_ONCE :]:
             if call.done:
                 self.servers.silent(call.server)
         line = (self.servers.reach.order if self.wave else self.servers.reach.first)(self.holder)
-        for _ in range(reach.more_at(self.wave)):
+        for _ in range(release_targets.more_at(self.wave)):
             self.send(line)
         self.wave += 1
 
@@ -266,7 +266,7 @@
     by_req = True  # what is held has its req's name
 
     def __init__(self, loop, pool, load_names, reports, whom, let_go_us=None):
-        """`whom`: a Reach. `let_go_us`: the time there is to let go of what is held."""
+        """`whom`: a ReleaseTargets. `let_go_us`: the time there is to let go of what is held."""
         self.loop, self.pool, self.load_names, self.reports = loop, pool, set(load_names), reports
         self.addresses, self.releasing, self.reach = {}, 0, whom
         self.let_go_us = let_go_us or LET_GO_US
--- a/lapiswing/state/memory.py
+++ b/lapiswing/state/memory.py
@@ -117,7 +117,7 @@
             )
             if entry is not None:
                 entry.noted_ms = sent
-        membership.ordered |= set(found.drains)
+        membership.operator_drains |= set(found.drains)
         for tenant, rps, until in found.caps:
             if tenant in tenants:
                 caps.put(self.to_us(now), tenants.index(tenant), rps, (until - now) * 1000)
--- a/lapiswing/transfer/agent.py
+++ b/lapiswing/transfer/agent.py
@@ -59,7 +59,7 @@
 
     def listen(self, host, port):
         """-> the address. Raises OSError."""
-        self.listener = Listener(self.loop, listen_socket(host, port), self.accept, make=self.make_server)
+        self.listener = Listener(self.loop, listen_socket(host, port), self.accept, make_stream=self.make_server)
         return self.listener.address
 
     def make_server(self, *args, **more):
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -134,7 +134,7 @@
             net.run(1)
     assert net.run(500, lambda: len(c.got) == 20)
     peer = a.transport.peers[b.address]
-    held = peer.waiting + peer.stream.waiting
+    held = peer.waiting + peer.stream.unsent_bytes
     assert held <= 2 * a.transport.most_waiting and a.transport.counts["dropped"] > 100
 
     def cut_off():
--- a/tests/platform_door.py
+++ b/tests/platform_harness.py
@@ -67,7 +67,7 @@
 }
 
 
-class Quiet:
+class RecordingLog:
     """Collects log lines."""
 
     def __init__(self):
@@ -79,8 +79,8 @@
     warning = error = info
 
 
-class Door:
-    """`with Door(folder, roles) as door`."""
+class PlatformHarness:
+    """`with PlatformHarness(folder, roles) as harness`."""
 
     def __init__(self, folder, roles=("read", "write", "write"), sockets=256, loop=None, known=True, log=None):
         self.loop = loop or Loop(Clock())
@@ -97,11 +97,11 @@
             "settings": SETTINGS,
         }
         self.path.write_text(json.dumps(self.config))
-        self.log = log or Quiet()
+        self.log = log or RecordingLog()
         self.node = Node(str(self.path), self.log, self.loop)
         self.node.start()
         self.core = self.node.core
-        assert self.loop.run_until(lambda: self.node.rows.rows)
+        assert self.loop.run_until(lambda: self.node.server_list.rows)
 
     def __enter__(self):
         return self
@@ -121,7 +121,7 @@
         """A client's request, sent on a connection of its own."""
         return self.client(head(rid, body, **fields) + body)
 
-    def told_deadlines(self):
+    def record_deadlines(self):
         """-> a list that gets (seconds told, when it came) of each attempt from now on."""
         told = []
 
@@ -133,7 +133,7 @@
             server.fault = record
         return told
 
-    def settled(self):
+    def wait_settled(self):
         """Nothing is open or held any more."""
         self.until(lambda: not self.core.reqs and not self.node.servers.releasing)
         assert not any(s.states for s in self.platform.servers.values())
@@ -156,9 +156,9 @@
 class Client:
     """A connection to the gateway, read on the test's own loop."""
 
-    def __init__(self, door, data=b""):
-        self.door, self.got, self.closed = door, b"", False
-        self.sock = socket.create_connection(("127.0.0.1", door.port))
+    def __init__(self, harness, data=b""):
+        self.harness, self.got, self.closed = harness, b"", False
+        self.sock = socket.create_connection(("127.0.0.1", harness.port))
         self.sock.setblocking(False)
         if data:
             self.send(data)
@@ -168,7 +168,7 @@
         self.sock.sendall(data)
         self.sock.setblocking(False)
 
-    def look(self):
+    def receive(self):
         try:
             while not self.closed:
                 data = self.sock.recv(65536)
@@ -182,12 +182,12 @@
 
     @property
     def status(self):
-        self.look()
+        self.receive()
         return int(self.got[9:12]) if len(self.got) > 12 else None
 
     def ended(self):
         """A whole answer is in, or the connection has ended."""
-        got = self.look()
+        got = self.receive()
         first, _, body = got.partition(b"\r\n\r\n")
         if self.closed:
             return True
@@ -196,23 +196,23 @@
         length = first.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
         return bool(length) and len(body) >= int(length)
 
-    def whole(self):
-        self.door.until(self.ended)
+    def wait_answer(self):
+        self.harness.until(self.ended)
         return self
 
     @property
     def body(self):
         """The chunked body put together."""
-        rest, out = self.look().partition(b"\r\n\r\n")[2], b""
+        rest, out = self.receive().partition(b"\r\n\r\n")[2], b""
         while rest:
             size, _, rest = rest.partition(b"\r\n")
             out, rest = out + rest[: int(size, 16)], rest[int(size, 16) + 2 :]
         return out
 
     @property
-    def cut(self):
+    def truncated(self):
         """Whether the answer ended without its last chunk."""
-        return not self.look().endswith(b"0\r\n\r\n")
+        return not self.receive().endswith(b"0\r\n\r\n")
 
     def close(self):
         self.sock.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -101,7 +101,7 @@
 def test_looking_is_one_right_and_acting_another(desk):
     box = desk.place.ids[1]
     assert desk.act({"act": "drain", "what": box}, desk.look)[0] == 403
-    assert desk.place.core.membership.ordered == set()
+    assert desk.place.core.membership.operator_drains == set()
     status_, answer = desk.act({"act": "drain", "what": box})
     assert status_ == 200 and answer["done"] == f"{box} drains"
     row = json.loads(desk.audit.read_text())
@@ -157,7 +157,7 @@
 def test_acts_that_can_not_be(desk, value, reason):
     status_, answer = desk.act(value)
     assert status_ in (400, 409) and reason in answer["error"]
-    assert not desk.place.core.caps.caps and not desk.place.core.membership.ordered
+    assert not desk.place.core.caps.caps and not desk.place.core.membership.operator_drains
 
 
 def test_the_gateway_is_drained_by_an_act(desk):
@@ -226,7 +226,7 @@
     feed = desk.admin.feed
     assert feed.size <= feed.most_bytes and len(feed.lines) <= feed.most
     stream = next(c.stream for s in desk.admin.servers for c in s.connections if c.current)
-    assert stream.waiting < 300_000
+    assert stream.unsent_bytes < 300_000
     assert desk.call() == 200
     desk.loop.run_until(lambda: reader.read() and reader.read()[-1].get("seq") == feed.seq, 10 * S)
     lost = [r for r in reader.read() if r["type"] == "lost"]
@@ -367,14 +367,16 @@
 
     rows = [Server(n, 0, 0, 0, 1.0, 0, "ready") for n in ("a", "b")]
     members = Membership()
-    members.list(rows)
-    assert [r.mode for r in members.order("a", True)[2]] == ["draining"] and members.why("a") == "operator"
-    assert members.said("a", True) is None and members.said("a", False) is None  # no change: it drains in any case
-    assert members.list(rows) is None and members.why("a") == "operator"
-    assert [r.mode for r in members.order("a", False)[2]] == ["ready"]
-    members.order("b", True)
-    members.list(rows[:1])
-    members.list(rows)
-    assert members.told["b"].mode == "ready"  # the list had dropped it: the order has ended
+    members.update_list(rows)
+    assert [r.mode for r in members.set_operator_draining("a", True)[2]] == ["draining"] and members.reason_of("a") == "operator"
+    assert (
+        members.set_reported_draining("a", True) is None and members.set_reported_draining("a", False) is None
+    )  # no change: it drains in any case
+    assert members.update_list(rows) is None and members.reason_of("a") == "operator"
+    assert [r.mode for r in members.set_operator_draining("a", False)[2]] == ["ready"]
+    members.set_operator_draining("b", True)
+    members.update_list(rows[:1])
+    members.update_list(rows)
+    assert members.published["b"].mode == "ready"  # the list had dropped it: the order has ended
     with pytest.raises(KeyError):
-        members.order("c", True)
+        members.set_operator_draining("c", True)
--- a/tests/test_client_fields.py
+++ b/tests/test_client_fields.py
@@ -1,7 +1,7 @@
 """What a client's head says goes where it belongs: the idempotency key to the servers, the owner to the decisions."""
 
 import pytest
-from platform_door import SETTINGS, Door
+from platform_harness import SETTINGS, PlatformHarness
 
 TENANTS = [{"Name": "line-1", "QuotaRps": 4.0}, {"Name": "line-2", "QuotaRps": 2.0}]
 
@@ -11,7 +11,7 @@
 def test_the_idempotency_key_goes_to_every_server_as_it_came(tmp_path, monkeypatch, key, effect):
     """Without it no server knows a repeat: each attempt of a key-idempotent request was refused as another one's."""
     monkeypatch.setitem(SETTINGS, "Classes", [{**SETTINGS["Classes"][0], "Effect": effect}])
-    with Door(tmp_path) as door:
+    with PlatformHarness(tmp_path) as harness:
         seen = []
 
         def record(exchange):
@@ -21,13 +21,13 @@
                     exchange.respond(503, b"", more=[(b"srv-declined", b"1")])
                     return True
 
-        for server in door.platform.servers.values():
+        for server in harness.platform.servers.values():
             server.fault = record
-        door.platform.add("read").fault = record
-        door.platform.discovery.tell(*(s.row() for s in door.platform.servers.values()))
-        door.until(lambda: len(door.core.router.table.rows.at) == 2)
-        client = door.ask("r1", **({} if key is None else {"Idempotency_Key": key}))
-        assert not client.whole().cut
+        harness.platform.add("read").fault = record
+        harness.platform.discovery.tell(*(s.row() for s in harness.platform.servers.values()))
+        harness.until(lambda: len(harness.core.router.table.rows.at) == 2)
+        client = harness.ask("r1", **({} if key is None else {"Idempotency_Key": key}))
+        assert not client.wait_answer().truncated
         assert client.status == 200 and len(seen) == 3
         assert set(seen) == {key.encode() if key else None}
 
@@ -35,17 +35,17 @@
 @pytest.mark.parametrize("owner, tenant", [("line-1", 0), ("line-2", 1), ("somebody", 2), (None, 2)])
 def test_the_owner_is_the_tenant_and_an_unknown_one_uses_nobodys_share(tmp_path, monkeypatch, owner, tenant):
     monkeypatch.setitem(SETTINGS, "Tenants", TENANTS)
-    with Door(tmp_path) as door:
-        before = [door.core.router.left_of(i) for i in range(2)]
-        client = door.ask("r1", Req_Owner=owner)
-        door.until(lambda: client.status)
-        used = [a - b for a, b in zip(before, [door.core.router.left_of(i) for i in range(2)])]
+    with PlatformHarness(tmp_path) as harness:
+        before = [harness.core.router.left_of(i) for i in range(2)]
+        client = harness.ask("r1", Req_Owner=owner)
+        harness.until(lambda: client.status)
+        used = [a - b for a, b in zip(before, [harness.core.router.left_of(i) for i in range(2)])]
         assert used == [float(i == tenant) for i in range(2)]
 
 
 def test_an_owner_or_a_key_that_is_given_twice_is_refused(tmp_path):
-    with Door(tmp_path) as door:
+    with PlatformHarness(tmp_path) as harness:
         for name in ("Req-Owner", "Idempotency-Key"):
-            client = door.ask("r1", **{"Req-Kind": f"chat\r\n{name}: a\r\n{name}: b"})
-            door.until(lambda: client.status)  # noqa: B023
+            client = harness.ask("r1", **{"Req-Kind": f"chat\r\n{name}: a\r\n{name}: b"})
+            harness.until(lambda: client.status)  # noqa: B023
             assert client.status == 400
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from platform_door import BODY, Door, head
+from platform_harness import BODY, PlatformHarness, head
 from whole import Place, Raw, post, chat, status
 
 from lapiswing.loop import Clock, Listener, Loop, Stream, listen_socket
@@ -40,92 +40,92 @@
 @pytest.mark.parametrize("name", SENT_ON)
 def test_an_error_is_not_destroyed_by_what_its_client_still_sends(tmp_path, name):
     """A close over unread bytes resets the connection; the error that was just written can go with it."""
-    with Door(tmp_path) as door:
-        client = door.client(SENT_ON[name])
-        got, clean = to_the_end(client.sock, lambda: door.loop.turn(1000))
+    with PlatformHarness(tmp_path) as harness:
+        client = harness.client(SENT_ON[name])
+        got, clean = to_the_end(client.sock, lambda: harness.loop.turn(1000))
         assert 400 <= int(got[9:12]) < 500 and clean
-        door.until(lambda: not door.node.server.connections)
+        harness.until(lambda: not harness.node.server.connections)
 
 
 def test_a_client_that_sends_on_without_end_is_cut_off(tmp_path):
-    with Door(tmp_path) as door:
-        client, sent = door.client(head("a1", Content_Length=str(60 << 20))), 0
-        began = door.loop.clock.now_us()
+    with PlatformHarness(tmp_path) as harness:
+        client, sent = harness.client(head("a1", Content_Length=str(60 << 20))), 0
+        began = harness.loop.clock.now_us()
         while sent < 60 << 20:
             try:
                 sent += client.sock.send(b"x" * 65536)
             except BlockingIOError:
-                door.loop.turn(1000)
+                harness.loop.turn(1000)
             except OSError:
                 break
-        assert sent < 8 << 20 and door.loop.clock.now_us() - began < 3_000_000
-        door.until(lambda: not door.node.server.connections)
+        assert sent < 8 << 20 and harness.loop.clock.now_us() - began < 3_000_000
+        harness.until(lambda: not harness.node.server.connections)
 
 
 def test_a_lingering_close_is_bounded_in_time_and_makes_room(tmp_path):
-    with Door(tmp_path, sockets=128) as door:
-        silent = [door.client(head("a1", Content_Length="400000")) for _ in range(door.node.clients)]
+    with PlatformHarness(tmp_path, sockets=128) as harness:
+        silent = [harness.client(head("a1", Content_Length="400000")) for _ in range(harness.node.clients)]
         for client in silent:
-            door.until(lambda client=client: client.status == 413)
-        assert len(door.node.server.connections) == door.node.clients  # none of them closes its side
-        began = door.loop.clock.now_us()
-        assert door.ask("b1").whole().status == 200  # room is made of those
-        assert door.loop.clock.now_us() - began < 500 * MS
-        door.until(lambda: not door.node.server.connections - {c for c in door.node.server.connections if c.served})
+            harness.until(lambda client=client: client.status == 413)
+        assert len(harness.node.server.connections) == harness.node.clients  # none of them closes its side
+        began = harness.loop.clock.now_us()
+        assert harness.ask("b1").wait_answer().status == 200  # room is made of those
+        assert harness.loop.clock.now_us() - began < 500 * MS
+        harness.until(lambda: not harness.node.server.connections - {c for c in harness.node.server.connections if c.served})
 
 
 def test_a_request_that_came_in_as_idle_connections_are_closed_is_answered(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        kept, rests = door.ask("a0").whole(), door.ask("a1").whole()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        kept, rests = harness.ask("a0").wait_answer(), harness.ask("a1").wait_answer()
         kept.got = b""
-        door.node.stopping = door.core.draining = True
+        harness.node.stopping = harness.core.draining = True
         kept.send(head("a2") + BODY)  # in the kernel, not read yet
-        door.node.server.drain()
-        got, _ = to_the_end(kept.sock, lambda: door.loop.turn(1000))
+        harness.node.server.drain()
+        got, _ = to_the_end(kept.sock, lambda: harness.loop.turn(1000))
         assert got.startswith(b"HTTP/1.1 503") and b"connection: close" in got.lower()
-        assert to_the_end(rests.sock, lambda: door.loop.turn(1000))[1]
+        assert to_the_end(rests.sock, lambda: harness.loop.turn(1000))[1]
 
 
 def test_requests_in_the_accept_queue_are_answered_as_the_port_closes(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
+    with PlatformHarness(tmp_path, ("both",)) as harness:
         stopped = []
-        door.loop.stop = lambda: stopped.append(1)
-        door.node.stopping = door.core.draining = door.node.server.closing = True
-        queued = [door.ask(f"a{i}") for i in range(100)]  # connected and sent; the gateway has not accepted them
-        assert not door.node.server.connections
-        door.node.close_port()
+        harness.loop.stop = lambda: stopped.append(1)
+        harness.node.stopping = harness.core.draining = harness.node.server.closing = True
+        queued = [harness.ask(f"a{i}") for i in range(100)]  # connected and sent; the gateway has not accepted them
+        assert not harness.node.server.connections
+        harness.node.close_port()
         for client in queued:
-            assert client.whole().status == 503
-        door.until(lambda: stopped)
+            assert client.wait_answer().status == 503
+        harness.until(lambda: stopped)
 
 
 def test_half_a_request_is_waited_for_before_the_program_ends(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
+    with PlatformHarness(tmp_path, ("both",)) as harness:
         stopped = []
-        door.loop.stop = lambda: stopped.append(1)
+        harness.loop.stop = lambda: stopped.append(1)
         data = head("a1") + BODY
-        client, never = door.client(data[:-40]), door.client(data[:40])
-        door.until(lambda: len(door.node.server.connections) == 2)
-        door.node.stop()
-        door.loop.run_until(lambda: False, 700 * MS)
+        client, never = harness.client(data[:-40]), harness.client(data[:40])
+        harness.until(lambda: len(harness.node.server.connections) == 2)
+        harness.node.stop()
+        harness.loop.run_until(lambda: False, 700 * MS)
         assert not stopped
         client.send(data[-40:])
-        assert client.whole().status == 503
-        began = door.loop.clock.now_us()
-        door.until(lambda: stopped)  # one that never comes does not keep it for good
-        assert door.loop.clock.now_us() - began < 2_500_000
+        assert client.wait_answer().status == 503
+        began = harness.loop.clock.now_us()
+        harness.until(lambda: stopped)  # one that never comes does not keep it for good
+        assert harness.loop.clock.now_us() - began < 2_500_000
         never.close()
 
 
 def test_a_request_right_behind_the_last_event_of_a_stream_is_answered_while_stopping(tmp_path):
     """The stream began before the stop, so its client was not told that the connection would end."""
-    with Door(tmp_path, ("both",)) as door:
-        door.platform.servers["s-1"].pause_us = 50 * MS
-        client = door.ask("a1")
-        door.until(lambda: client.status)
-        door.node.stop()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        harness.platform.servers["s-1"].pause_us = 50 * MS
+        client = harness.ask("a1")
+        harness.until(lambda: client.status)
+        harness.node.stop()
         client.send(head("a2") + BODY)
-        got, _ = to_the_end(client.sock, lambda: door.loop.turn(1000))
+        got, _ = to_the_end(client.sock, lambda: harness.loop.turn(1000))
         got = client.got + got
         assert got.count(b"HTTP/1.1 200") == 1 and got.count(b"HTTP/1.1 503") == 1
         assert got.index(b"[DONE]") < got.index(b"HTTP/1.1 503")
@@ -175,32 +175,32 @@
 
 def test_events_reach_the_client_as_they_come(tmp_path):
     """Not later than 0.3 s after the server wrote them: here each of them before the next one is written."""
-    with Door(tmp_path, ("both",)) as door:
-        server = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        server = harness.platform.servers["s-1"]
         server.events, server.pause_us = 5, 100 * MS
-        client, seen = door.ask("a1"), []
+        client, seen = harness.ask("a1"), []
 
         def look():
-            count = client.look().count(b'"content"')
+            count = client.receive().count(b'"content"')
             if count > len(seen):
-                seen.extend([door.loop.clock.now_us()] * (count - len(seen)))
+                seen.extend([harness.loop.clock.now_us()] * (count - len(seen)))
             return len(seen) == 5
 
-        door.until(look)
+        harness.until(look)
         gaps = [b - a for a, b in zip(seen, seen[1:])]
         assert min(gaps) > 50 * MS and max(gaps) < 300 * MS, gaps
-        assert client.whole().status == 200
+        assert client.wait_answer().status == 200
 
 
 def test_a_request_that_comes_as_its_connection_is_given_up_as_silent_is_answered(tmp_path):
     """Both in one turn, the look at silent connections first."""
-    with Door(tmp_path, ("both", "both")) as door:
-        client = door.client()
-        door.until(lambda: door.node.server.connections)
-        (conn,) = door.node.server.connections
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        client = harness.client()
+        harness.until(lambda: harness.node.server.connections)
+        (conn,) = harness.node.server.connections
         client.send(head("a1") + BODY)
         conn.overdue(conn.born_us + 3_000_000)
-        assert client.whole().status == 200
-        conn.overdue(door.loop.now + 200_000_000)  # with nothing on its way it does close
-        door.until(lambda: not door.node.server.connections)
+        assert client.wait_answer().status == 200
+        conn.overdue(harness.loop.now + 200_000_000)  # with nothing on its way it does close
+        harness.until(lambda: not harness.node.server.connections)
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,7 +10,7 @@
 import sys
 
 import pytest
-from platform_door import BODY, Door, Quiet, head
+from platform_harness import BODY, PlatformHarness, RecordingLog, head
 
 from lapiswing.http1 import Pool
 from lapiswing.loop import Clock, Listener, Loop, free_ports, listen_socket
@@ -39,9 +39,10 @@
 def test_the_pool_never_opens_more_than_it_may():
     loop = Loop(Clock())
     listeners = [
-        Listener(loop, listen_socket("127.0.0.1", 0), lambda stream, peer: setattr(stream, "owner", Quiet())) for _ in range(3)
+        Listener(loop, listen_socket("127.0.0.1", 0), lambda stream, peer: setattr(stream, "owner", RecordingLog()))
+        for _ in range(3)
     ]
-    pool = Pool(loop, 10, 4, most_all=5)
+    pool = Pool(loop, 10, 4, max_total=5)
     handlers = [Handler() for _ in range(9)]
     for i, handler in enumerate(handlers):
         pool.request(listeners[i % 3].address, b"GET", b"/", [], b"", handler)
@@ -55,32 +56,32 @@
 
 
 def test_no_descriptor_for_an_attempt_is_pushed_back_and_blames_no_server(tmp_path, monkeypatch):
-    with Door(tmp_path, ("both", "both")) as door:
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
 
         def none(*args):
             raise OSError(errno.EMFILE, "Too many open files")
 
         real = socket.socket
-        client, kept = door.client(), door.ask("a0").whole()
-        for conn in list(door.node.pool.all):
+        client, kept = harness.client(), harness.ask("a0").wait_answer()
+        for conn in list(harness.node.pool.all):
             conn.stream.abort()
         monkeypatch.setattr(net.socket, "socket", none)
         kept.got = b""
         kept.send(head("a1") + BODY)
-        door.until(kept.ended)
+        harness.until(kept.ended)
         monkeypatch.setattr(net.socket, "socket", real)
         assert kept.status == 503 and b"retry-after" in kept.got.lower()
-        router = door.core.router
+        router = harness.core.router
         assert not router.lost and all(m.bad < 0.01 and not m.suspect for m in router.machines.values())
         client.send(head("a2") + BODY)
-        assert client.whole().status == 200
-        door.settled()
+        assert client.wait_answer().status == 200
+        harness.wait_settled()
 
 
 def test_a_listener_without_any_descriptor_rests_and_comes_back(monkeypatch):
     loop, seen = Loop(Clock()), []
     listener = Listener(
-        loop, listen_socket("127.0.0.1", 0), lambda stream, peer: (seen.append(stream), setattr(stream, "owner", Quiet()))
+        loop, listen_socket("127.0.0.1", 0), lambda stream, peer: (seen.append(stream), setattr(stream, "owner", RecordingLog()))
     )
     os.close(listener.spare)
     listener.spare = None
@@ -107,37 +108,37 @@
 
 def test_what_the_process_may_open_counts_where_it_is_less_than_configured(tmp_path, monkeypatch):
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 128))
-    with Door(tmp_path, sockets=4096) as door:
-        assert door.node.clients + door.node.pool.most_all < 128
+    with PlatformHarness(tmp_path, sockets=4096) as harness:
+        assert harness.node.clients + harness.node.pool.max_total < 128
 
 
 def test_room_is_not_made_by_cutting_an_answer_that_a_slow_client_still_takes(tmp_path, monkeypatch):
-    with Door(tmp_path, ("both",)) as door:
-        (server,) = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        (server,) = harness.platform.servers.values()
         monkeypatch.setattr(server, "event", lambda number: b'data: {"choices": [], "pad": "%b"}\n\n' % (b"x" * 20_000))
-        client = door.client()
+        client = harness.client()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        door.until(lambda: door.node.server.connections)
-        (conn,) = door.node.server.connections
+        harness.until(lambda: harness.node.server.connections)
+        (conn,) = harness.node.server.connections
         conn.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(head("a1") + BODY)
-        door.until(lambda: conn.served and conn.phase == "idle")
-        assert conn.stream.waiting  # the answer's end is not with the kernel yet
-        door.node.server.make_room()
-        assert client.whole().got.endswith(b"0\r\n\r\n") and not client.cut
-        door.settled()
+        harness.until(lambda: conn.served and conn.phase == "idle")
+        assert conn.stream.unsent_bytes  # the answer's end is not with the kernel yet
+        harness.node.server.make_room()
+        assert client.wait_answer().got.endswith(b"0\r\n\r\n") and not client.truncated
+        harness.wait_settled()
 
 
 @pytest.mark.parametrize("kind", ["say nothing", "asked once"])
 def test_idle_clients_fill_the_table_while_discovery_is_down(tmp_path, kind):
     """A process of its own with the very limit that it is configured for."""
     sockets = 160
-    with Door(tmp_path, ("both", "both")) as door:
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
         (port,) = free_ports(1)
         path = tmp_path / "own.json"
         path.write_text(
             json.dumps(
-                {**door.config, "listen": f"127.0.0.1:{port}", "limits": {"cores": 0.5, "memory_mb": 64, "sockets": sockets}}
+                {**harness.config, "listen": f"127.0.0.1:{port}", "limits": {"cores": 0.5, "memory_mb": 64, "sockets": sockets}}
             )
         )
         log = open(tmp_path / "log", "w")
@@ -148,42 +149,42 @@
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)),
         )
         try:
-            door.port = port
-            door.until(lambda: "listening" in (tmp_path / "log").read_text(), 20 * S)
-            assert door.ask("a0").whole().status == 200
-            door.loop.run_until(lambda: False, 200 * MS)
+            harness.port = port
+            harness.until(lambda: "listening" in (tmp_path / "log").read_text(), 20 * S)
+            assert harness.ask("a0").wait_answer().status == 200
+            harness.loop.run_until(lambda: False, 200 * MS)
             own = len(os.listdir(f"/proc/{program.pid}/fd"))
-            discovery, old = door.platform.discovery, door.platform.servers["s-1"]
+            discovery, old = harness.platform.discovery, harness.platform.servers["s-1"]
             discovery.silent = True
             discovery.waiting.clear()
             ask = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n" if kind == "asked once" else b""
-            idle = [door.client(ask) for _ in range(2 * sockets)]
-            door.loop.run_until(lambda: False, S)
+            idle = [harness.client(ask) for _ in range(2 * sockets)]
+            harness.loop.run_until(lambda: False, S)
             assert len(os.listdir(f"/proc/{program.pid}/fd")) <= sockets
-            more = [door.client(ask) for _ in range(sockets)]
+            more = [harness.client(ask) for _ in range(sockets)]
             discovery.silent = False
-            new = door.platform.add("both")
+            new = harness.platform.add("both")
             old.status = "DRAINING"
             discovery.tell(old.row(), new.row())
-            began = door.loop.clock.now_us()
+            began = harness.loop.clock.now_us()
             asked = [0]
 
             def served():
                 asked[0] += 1
-                client = door.ask(f"b{asked[0]}")
-                status = client.whole().status
+                client = harness.ask(f"b{asked[0]}")
+                status = client.wait_answer().status
                 client.close()
-                return status == 200 and any(row[0] == new.name for row in door.platform.seen(b"POST"))
+                return status == 200 and any(row[0] == new.name for row in harness.platform.seen(b"POST"))
 
-            door.until(served, 6 * S)
-            assert door.loop.clock.now_us() - began < 6 * S
-            before = len([row for row in door.platform.seen(b"POST") if row[0] == old.name])
+            harness.until(served, 6 * S)
+            assert harness.loop.clock.now_us() - began < 6 * S
+            before = len([row for row in harness.platform.seen(b"POST") if row[0] == old.name])
             for i in range(5):
-                assert door.ask(f"c{i}").whole().status == 200
-            assert len([row for row in door.platform.seen(b"POST") if row[0] == old.name]) == before
+                assert harness.ask(f"c{i}").wait_answer().status == 200
+            assert len([row for row in harness.platform.seen(b"POST") if row[0] == old.name]) == before
             for client in idle + more:
                 client.close()
-            door.until(lambda: len(os.listdir(f"/proc/{program.pid}/fd")) <= own + 6, 8 * S)
+            harness.until(lambda: len(os.listdir(f"/proc/{program.pid}/fd")) <= own + 6, 8 * S)
             program.send_signal(signal.SIGTERM)
             assert program.wait(10) == 0
         finally:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,11 +5,20 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from platform_door import Door, Quiet
+from platform_harness import PlatformHarness, RecordingLog
 
 from lapiswing.loop import Loop, ManualClock
 from lapiswing.membership.starts import ServerStarts
-from lapiswing.node.discovery import AGAIN_US, ASKED_WAIT_MS, LATE_US, MOST_LATE_US, MOST_REFUSED_US, WAIT_MS, Discovery, Rows
+from lapiswing.node.discovery import (
+    AGAIN_US,
+    ASKED_WAIT_MS,
+    LATE_US,
+    MOST_LATE_US,
+    MOST_REFUSED_US,
+    WAIT_MS,
+    Discovery,
+    ServerList,
+)
 
 MS, S = 1000, 1_000_000
 LIMIT_US = 5 * S
@@ -108,7 +117,7 @@
 class Played:
     def __init__(self, asked=False):
         self.loop = Loop(ManualClock())
-        self.heard, self.rows = [], Rows(["read", "write", "both"], ["a"], ServerStarts(0))
+        self.heard, self.rows = [], ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
         self.pool = Scripted(self.loop, [])
         self.discovery = Discovery(self.loop, self.pool, ("127.0.0.1", 1), self.rows, self.on_rows, self, asked)
         self.until(lambda: self.rows.rows, S)
@@ -204,37 +213,37 @@
 
 @pytest.mark.parametrize("how", ["silent watch", "outage", "reset"])
 def test_on_sockets_a_change_is_acted_on_within_5_s(tmp_path, how):
-    with Door(tmp_path, ("both", "both")) as door:
-        discovery, server = door.platform.discovery, door.platform.servers["s-1"]
-        door.until(lambda: discovery.waiting)
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        discovery, server = harness.platform.discovery, harness.platform.servers["s-1"]
+        harness.until(lambda: discovery.waiting)
         if how == "silent watch":  # what is open stays open and says nothing; new calls are answered
             discovery.waiting.clear()
         elif how == "outage":
             discovery.silent = True
             discovery.waiting.clear()
-            door.loop.run_until(lambda: False, 2 * S)
+            harness.loop.run_until(lambda: False, 2 * S)
             discovery.silent = False
         else:
             for exchange, _ in discovery.waiting:
                 exchange.conn.stream.abort()
             discovery.waiting.clear()
-        began = door.loop.clock.now_us()
+        began = harness.loop.clock.now_us()
         server.status = "DRAINING"
         discovery.tell(server.row())
-        door.until(lambda: door.core.router.machines["s-1"].mode == "draining", 6 * S)
-        assert door.loop.clock.now_us() - began < LIMIT_US
-        assert all(door.ask(f"a{i}").whole().status == 200 for i in range(3))
-        assert {row[0] for row in door.platform.seen(b"POST")} == {"s-2"}
+        harness.until(lambda: harness.core.router.machines["s-1"].mode == "draining", 6 * S)
+        assert harness.loop.clock.now_us() - began < LIMIT_US
+        assert all(harness.ask(f"a{i}").wait_answer().status == 200 for i in range(3))
+        assert {row[0] for row in harness.platform.seen(b"POST")} == {"s-2"}
 
 
 def test_an_indented_list_is_taken_like_any_other(tmp_path):
-    with Door(tmp_path, ("both", "both")) as door:
-        discovery = door.platform.discovery
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        discovery = harness.platform.discovery
         for indent in (2, "\t"):
             whole = json.dumps(discovery.whole() | {"index": 70}, indent=indent).encode().replace(b"\n", b"\r\n")
-            door.node.rows.rows.clear()
-            door.node.discovery.answered(door.node.discovery.call, 200, whole)
-            assert set(door.node.rows.rows) == {"s-1", "s-2"} and door.node.rows.index == 70
+            harness.node.server_list.rows.clear()
+            harness.node.discovery.answered(harness.node.discovery.call, 200, whole)
+            assert set(harness.node.server_list.rows) == {"s-1", "s-2"} and harness.node.server_list.index == 70
 
 
 class Overloaded:
@@ -278,8 +287,8 @@
     loop = Loop(ManualClock())
     discovery, gateways = Overloaded(loop), []
     for seed in range(60):
-        rows = Rows(["read", "write", "both"], ["a"], ServerStarts(0))
-        gateways.append(Discovery(loop, discovery, ("127.0.0.1", 1), rows, lambda: None, Quiet(), asked=True, seed=seed))
+        rows = ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
+        gateways.append(Discovery(loop, discovery, ("127.0.0.1", 1), rows, lambda: None, RecordingLog(), asked=True, seed=seed))
 
     def all_are(mode):
         return all(g.rows.rows and g.rows.rows["s-1"].mode == mode for g in gateways)
@@ -298,7 +307,8 @@
 def test_gateways_that_start_together_end_their_waits_apart():
     """All in one moment, some were turned away and heard of a change 0.4 s too late."""
     waits = sorted(
-        Discovery(Loop(ManualClock()), None, None, Rows([], [], None), None, Quiet(), True, seed).wait_ms for seed in range(40)
+        Discovery(Loop(ManualClock()), None, None, ServerList([], [], None), None, RecordingLog(), True, seed).wait_ms
+        for seed in range(40)
     )
     assert waits[0] >= ASKED_WAIT_MS * 3 // 4 and waits[-1] <= ASKED_WAIT_MS
     assert max(sum(at <= w < at + 500 for w in waits) for at in waits) <= 10  # of 40, in any half second
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -313,18 +313,18 @@
         listed=False,
         ports=ports,
     ) as place:
-        place.until(lambda: len(place.core.membership.told) == 3)
+        place.until(lambda: len(place.core.membership.published) == 3)
         for i in range(6):
             assert status(Raw(place, post(chat(text=f"q{i}"))).until()) == 200
         writer = place.ids[1]
         server.put("b1." + SERVICE, "TXT", '"role=write" "drain=1"', ttl=1)
-        place.until(lambda: place.core.membership.told[writer].mode == "draining")
+        place.until(lambda: place.core.membership.published[writer].mode == "draining")
         before = len(place.rows("arrive", box=writer))
         for i in range(6):
             assert status(Raw(place, post(chat(text=f"r{i}"))).until()) == 200
         assert len(place.rows("arrive", box=writer)) == before
         server.withdraw(SERVICE, "b1")
-        place.until(lambda: writer not in place.core.membership.told)
+        place.until(lambda: writer not in place.core.membership.published)
         assert status(Raw(place, post(chat(text="s"))).until()) == 200
         server.close()
 
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from platform_door import BODY, Door, Quiet, head
+from platform_harness import BODY, PlatformHarness, RecordingLog, head
 
 from lapiswing.engine import outcomes as engine_outcomes
 from lapiswing.loop import Clock, Listener, Loop, errnos, listen_socket, net
@@ -36,8 +36,8 @@
     listener = Listener(
         loop,
         listen_socket("127.0.0.1", 0),
-        lambda stream, peer: (seen.append(stream), setattr(stream, "owner", Quiet())),
-        most=most,
+        lambda stream, peer: (seen.append(stream), setattr(stream, "owner", RecordingLog())),
+        max_connections=most,
     )
     return listener, seen
 
@@ -77,15 +77,15 @@
 
 def test_what_waits_is_answered_as_the_port_closes_where_the_table_is_full(tmp_path):
     """Room is looked for once a turn only; what has no place is refused, and not reset by the port's end."""
-    with Door(tmp_path, ("both", "both")) as door:
-        door.node.listener.most = 4
-        kept = [door.ask(f"a{i}").whole() for i in range(4)]
-        late = [door.ask(f"b{i}") for i in range(3)]
-        door.node.listener.roomed_us = door.loop.now
-        door.node.stop()
-        door.node.close_port()
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        harness.node.listener.max_connections = 4
+        kept = [harness.ask(f"a{i}").wait_answer() for i in range(4)]
+        late = [harness.ask(f"b{i}") for i in range(3)]
+        harness.node.listener.roomed_us = harness.loop.now
+        harness.node.stop()
+        harness.node.close_port()
         for client in late:
-            client.whole()
+            client.wait_answer()
         assert [client.status for client in late] == [503] * 3
         for client in kept:
             client.close()
@@ -107,27 +107,27 @@
 
 @pytest.mark.parametrize("name", ["ENOBUFS", "ENOMEM"])
 def test_an_event_that_the_machine_has_no_memory_for_goes_out_a_moment_later(tmp_path, name):
-    with Door(tmp_path, ("both", "both")) as door:
-        client = door.client()
-        door.until(lambda: door.node.server.connections)
-        (conn,) = door.node.server.connections
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        client = harness.client()
+        harness.until(lambda: harness.node.server.connections)
+        (conn,) = harness.node.server.connections
         client.send(head("a1") + BODY)
-        door.until(lambda: conn.stream.sent)
+        harness.until(lambda: conn.stream.sent)
         conn.stream.sock = Failing(conn.stream.sock, send=[getattr(errno, name)] * 3, sendmsg=[getattr(errno, name)])
-        assert client.whole().status == 200 and not client.cut and not client.closed
-        door.settled()
+        assert client.wait_answer().status == 200 and not client.truncated and not client.closed
+        harness.wait_settled()
 
 
 @pytest.mark.parametrize("name", ["ENOBUFS", "ENOMEM"])
 def test_a_read_that_the_machine_has_no_memory_for_is_tried_again(tmp_path, name):
-    with Door(tmp_path, ("both", "both")) as door:
-        client = door.client()
-        door.until(lambda: door.node.server.connections)
-        (conn,) = door.node.server.connections
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        client = harness.client()
+        harness.until(lambda: harness.node.server.connections)
+        (conn,) = harness.node.server.connections
         conn.stream.sock = Failing(conn.stream.sock, recv=[getattr(errno, name)] * 3)
         client.send(head("a1") + BODY)
-        assert client.whole().status == 200
-        door.settled()
+        assert client.wait_answer().status == 200
+        harness.wait_settled()
 
 
 class Ports:
@@ -150,57 +150,57 @@
 
 @pytest.mark.parametrize("name", ["EADDRNOTAVAIL", "ENOBUFS", "ENETUNREACH", "ENOMEM", "ENFILE"])
 def test_while_no_connection_can_be_opened_here_requests_wait_and_no_server_is_blamed(tmp_path, monkeypatch, name):
-    with Door(tmp_path, ("read", "read", "write", "write")) as door:
-        assert door.ask("a0").whole().status == 200
-        door.settled()
-        for conn in list(door.node.pool.all):
+    with PlatformHarness(tmp_path, ("read", "read", "write", "write")) as harness:
+        assert harness.ask("a0").wait_answer().status == 200
+        harness.wait_settled()
+        for conn in list(harness.node.pool.all):
             conn.stream.abort()
-        ports, before = Ports(monkeypatch, getattr(errno, name)), remembered(door.core.router)
-        clients = [door.ask(f"b{i}") for i in range(40)]
-        door.until(lambda: len(door.core.reqs) == 40)
-        door.loop.run_until(lambda: False, 600 * MS)
-        assert not any(client.look() for client in clients)  # none is rejected while it has time
-        assert remembered(door.core.router) == before
+        ports, before = Ports(monkeypatch, getattr(errno, name)), remembered(harness.core.router)
+        clients = [harness.ask(f"b{i}") for i in range(40)]
+        harness.until(lambda: len(harness.core.reqs) == 40)
+        harness.loop.run_until(lambda: False, 600 * MS)
+        assert not any(client.receive() for client in clients)  # none is rejected while it has time
+        assert remembered(harness.core.router) == before
         ports.code = None
         for client in clients:
-            assert client.whole().status == 200 and not client.cut
-        assert remembered(door.core.router)[:2] == before[:2]
-        door.settled()
+            assert client.wait_answer().status == 200 and not client.truncated
+        assert remembered(harness.core.router)[:2] == before[:2]
+        harness.wait_settled()
 
 
 def test_what_can_not_be_sent_from_here_in_its_time_is_rejected_and_releases_its_state(tmp_path, monkeypatch):
     """The trouble begins between prefill and decode: the state may not be held for longer than its time."""
-    with Door(tmp_path, ("read", "write")) as door:
+    with PlatformHarness(tmp_path, ("read", "write")) as harness:
         ports = Ports(monkeypatch, None)
-        reader = door.platform.servers["s-1"]
-        client = door.ask("a1")
-        door.until(lambda: reader.seen)
+        reader = harness.platform.servers["s-1"]
+        client = harness.ask("a1")
+        harness.until(lambda: reader.seen)
         ports.code = errno.EADDRNOTAVAIL
-        for conn in list(door.node.pool.all):
+        for conn in list(harness.node.pool.all):
             if conn.exchange is None:
                 conn.stream.abort()
-        assert client.whole().status == 503
-        assert door.loop.clock.now_us() - reader.seen_us[0] < 800 * MS
+        assert client.wait_answer().status == 503
+        assert harness.loop.clock.now_us() - reader.seen_us[0] < 800 * MS
         ports.code = None
-        door.settled()
+        harness.wait_settled()
 
 
 def test_an_attempt_that_waits_for_a_connection_is_withdrawn_when_its_server_drains(tmp_path, monkeypatch):
-    with Door(tmp_path, ("both",)) as door:
-        (old,) = door.platform.servers.values()
-        door.until(lambda: door.platform.discovery.waiting)
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        (old,) = harness.platform.servers.values()
+        harness.until(lambda: harness.platform.discovery.waiting)
         ports = Ports(monkeypatch, errno.EADDRNOTAVAIL)
-        client = door.ask("a1")
-        door.until(lambda: door.core.reqs and door.core.reqs["a1"].outs)
-        new = door.platform.add("both")
+        client = harness.ask("a1")
+        harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].outs)
+        new = harness.platform.add("both")
         old.status = "DRAINING"
-        door.platform.discovery.tell(old.row(), new.row())
-        door.until(lambda: new.name in door.node.rows.rows)
+        harness.platform.discovery.tell(old.row(), new.row())
+        harness.until(lambda: new.name in harness.node.server_list.rows)
         ports.code = None
-        assert client.whole().status == 200
-        assert [row[0] for row in door.platform.seen(b"POST")] == [new.name]
-        assert not door.core.router.lost
-        door.settled()
+        assert client.wait_answer().status == 200
+        assert [row[0] for row in harness.platform.seen(b"POST")] == [new.name]
+        assert not harness.core.router.lost
+        harness.wait_settled()
 
 
 def test_the_tables_name_every_error_of_the_manual_pages():
@@ -255,22 +255,22 @@
 
 @pytest.mark.parametrize("name", ["ENETUNREACH", "EPERM", "EADDRNOTAVAIL"])
 def test_a_single_server_that_can_not_be_reached_from_here_costs_a_moment_and_not_the_request(tmp_path, monkeypatch, name):
-    with Door(tmp_path, ("both", "both")) as door:
-        one, other = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        one, other = harness.platform.servers.values()
         host, port = one.address.rsplit(":", 1)
         deaf_to(monkeypatch, (host, int(port)), getattr(errno, name))
-        began_us = door.loop.clock.now_us()
+        began_us = harness.loop.clock.now_us()
         for i in range(6):
-            client = door.ask(f"a{i}")
-            assert client.whole().status == 200
-        assert door.loop.clock.now_us() - began_us < 6 * 400 * MS
-        assert {row[0] for row in door.platform.seen(b"POST")} == {other.name}
-        door.settled()
+            client = harness.ask(f"a{i}")
+            assert client.wait_answer().status == 200
+        assert harness.loop.clock.now_us() - began_us < 6 * 400 * MS
+        assert {row[0] for row in harness.platform.seen(b"POST")} == {other.name}
+        harness.wait_settled()
 
 
 def test_connections_that_fail_now_and_then_are_no_common_trouble(tmp_path, monkeypatch):
     """Each is tried again at once, nobody is told, and no age of an attempt starts anew."""
-    with Door(tmp_path, ("both", "both")) as door:
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
         tries = [0]
         real = socket.socket
 
@@ -280,11 +280,11 @@
                 return errno.EADDRNOTAVAIL if tries[0] % 2 else super().connect_ex(address)
 
         monkeypatch.setattr(net.socket, "socket", Socket)
-        clients = [door.ask(f"a{i}") for i in range(20)]
+        clients = [harness.ask(f"a{i}") for i in range(20)]
         for client in clients:
-            assert client.whole().status == 200
-        assert not [fields for event, fields in door.log.lines if "can be opened here" in str(fields)]
-        door.settled()
+            assert client.wait_answer().status == 200
+        assert not [fields for event, fields in harness.log.lines if "can be opened here" in str(fields)]
+        harness.wait_settled()
 
 
 def test_a_fault_of_accept_does_not_keep_the_port_from_closing():
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -5,7 +5,7 @@
 import types
 
 import pytest
-from platform_door import Quiet
+from platform_harness import RecordingLog
 from simfiles import SimFiles
 
 from lapiswing.fleet.host import OTHERS, OWN, Host
@@ -39,7 +39,7 @@
             key=[KEY],
         )
         host = self.hosts[name] = Host(
-            self.loop, settings, name, "z", store, Quiet(), on_row=lambda row: self.rows.append((name, row.key))
+            self.loop, settings, name, "z", store, RecordingLog(), on_row=lambda row: self.rows.append((name, row.key))
         )
         host.start()
         return host
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -234,7 +234,7 @@
         for _ in range(200):  # far fewer bytes than are written
             raw.read(1)
             place.turn_for(3)
-        waiting = max(c.stream.waiting for c in place.gateway.server.connections)
+        waiting = max(c.stream.unsent_bytes for c in place.gateway.server.connections)
         assert waiting < 4096 + 65536 * 2
         assert not place.rows("end", how="done")  # its box waits with it
         got = raw.until(most_s=30)
@@ -264,11 +264,11 @@
         for _ in range(12):
             assert b"[DONE]" in send(place, chat(tokens=2)).until()
         assert len(place.rows("end", how="refused")) <= 1
-        told = place.core.membership.told
+        told = place.core.membership.published
         assert sorted(r.mode for r in told.values()) in (["draining", "ready", "ready"], ["ready"] * 3)
         if place.rows("end", how="refused"):
             place.box(1).faults.draining = False
-            place.until(lambda: place.core.membership.told[place.ids[1]].mode == "ready")
+            place.until(lambda: place.core.membership.published[place.ids[1]].mode == "ready")
 
 
 def test_open_reqs_are_bounded_and_what_is_over_is_told_when_to_come_back():
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -3,7 +3,7 @@
 from trace import MS
 
 import pytest
-from platform_door import Door, Quiet
+from platform_harness import PlatformHarness, RecordingLog
 
 from lapiswing.gateway.guards import Check, Guards, History
 from lapiswing.interface import EndpointGroup, Server
@@ -15,7 +15,7 @@
 
 def guards(effect="replayable", scope="all", second_copies=True):
     group = EndpointGroup("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
-    return Guards([group], 1000 * MS, second_copies, Quiet())
+    return Guards([group], 1000 * MS, second_copies, RecordingLog())
 
 
 def row(mode, name="s-1"):
@@ -85,30 +85,30 @@
 
 def test_the_host_asks_before_it_sends_and_the_stop_is_counted_and_logged(tmp_path):
     """A Router that goes on sending to what has left: the attempt is stopped, the call is answered all the same."""
-    with Door(tmp_path, ("both", "both")) as door:
-        door.until(lambda: door.platform.discovery.waiting)
-        old, other = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        harness.until(lambda: harness.platform.discovery.waiting)
+        old, other = harness.platform.servers.values()
         old.status = other.status = "DRAINING"
-        door.platform.discovery.tell(old.row(), other.row())
-        door.until(lambda: all(m.mode == "draining" for m in door.core.router.machines.values()))
-        door.core.guards.off_us = {name: at - 2000 * MS for name, at in door.core.guards.off_us.items()}
-        for machine in door.core.router.machines.values():
+        harness.platform.discovery.tell(old.row(), other.row())
+        harness.until(lambda: all(m.mode == "draining" for m in harness.core.router.machines.values()))
+        harness.core.guards.off_us = {name: at - 2000 * MS for name, at in harness.core.guards.off_us.items()}
+        for machine in harness.core.router.machines.values():
             machine.mode = "ready"  # the fault: it has forgotten what it was told
-        door.core.router.use(list(door.core.router.machines.values()))
-        door.core.router.table.arrange(door.core.router.readers, door.core.router.writers)
-        door.core.router.refresh()
-        assert door.ask("a1").whole().status == 503
-        assert door.core.guards.counts[Check.SENDING] and not door.platform.seen(b"POST")
-        assert "guard" in [event for event, _ in door.log.lines]
+        harness.core.router.use(list(harness.core.router.machines.values()))
+        harness.core.router.table.arrange(harness.core.router.readers, harness.core.router.writers)
+        harness.core.router.refresh()
+        assert harness.ask("a1").wait_answer().status == 503
+        assert harness.core.guards.counts[Check.SENDING] and not harness.platform.seen(b"POST")
+        assert "guard" in [event for event, _ in harness.log.lines]
 
 
 def test_a_process_that_ends_with_a_call_open_says_so(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        (server,) = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        (server,) = harness.platform.servers.values()
         server.fault = lambda exchange: exchange.method == b"POST"
-        client = door.ask("a1")
-        door.until(lambda: door.core.reqs)
-        door.core.guards.closed(door.core.reqs.values())
-        assert door.core.guards.counts[Check.CLOSING] == 1
+        client = harness.ask("a1")
+        harness.until(lambda: harness.core.reqs)
+        harness.core.guards.closed(harness.core.reqs.values())
+        assert harness.core.guards.counts[Check.CLOSING] == 1
         client.close()
-        door.settled()
+        harness.wait_settled()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -4,7 +4,7 @@
 import struct
 
 import pytest
-from platform_door import BODY, SETTINGS, Door, head
+from platform_harness import BODY, SETTINGS, PlatformHarness, head
 
 from lapiswing.http1 import client as http1_client
 from lapiswing.interface import Server as Row
@@ -34,7 +34,7 @@
         try:
             left = left[client.sock.send(left) :]
         except BlockingIOError:
-            client.door.loop.turn(1000)
+            client.harness.loop.turn(1000)
 
 
 def behind_a_flood(client):
@@ -45,19 +45,19 @@
 WAYS = {"FIN": fin, "RST": reset, "behind a pipelined request": behind_pipelined, "behind a flood": behind_a_flood}
 
 
-def attempts(door):
+def attempts(harness):
     """When the last byte of each attempt reached a server."""
-    return [at for s in door.platform.servers.values() for at, row in zip(s.seen_us, s.seen) if row[0] == b"POST"]
+    return [at for s in harness.platform.servers.values() for at, row in zip(s.seen_us, s.seen) if row[0] == b"POST"]
 
 
-def leaves(door, client, way):
+def leaves(harness, client, way):
     """Closes, lets the loop go on past every time-out, and checks that no attempt came more than 50 ms later."""
     WAYS[way](client)
-    left_us = door.loop.clock.now_us()
-    door.loop.run_until(lambda: False, 220 * MS)
-    late = [at - left_us for at in attempts(door) if at > left_us + 50 * MS]
+    left_us = harness.loop.clock.now_us()
+    harness.loop.run_until(lambda: False, 220 * MS)
+    late = [at - left_us for at in attempts(harness) if at > left_us + 50 * MS]
     assert not late, late
-    door.settled()
+    harness.wait_settled()
 
 
 class LateConnect(http1_client.connect):
@@ -84,28 +84,28 @@
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_before_its_request_was_looked_at(tmp_path, way, cancel):
-    with Door(tmp_path) as door:
-        client = door.ask("a1")
-        leaves(door, client, way)
-        assert not attempts(door) and not door.core.reqs
+    with PlatformHarness(tmp_path) as harness:
+        client = harness.ask("a1")
+        leaves(harness, client, way)
+        assert not attempts(harness) and not harness.core.reqs
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_while_its_prefill_runs(tmp_path, way, cancel):
-    with Door(tmp_path) as door:
-        reader = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path) as harness:
+        reader = harness.platform.servers["s-1"]
         reader.read_us = 200 * MS
-        client = door.ask("a1")
-        door.until(lambda: reader.seen)
-        leaves(door, client, way)
-        assert len(attempts(door)) == 1
+        client = harness.ask("a1")
+        harness.until(lambda: reader.seen)
+        leaves(harness, client, way)
+        assert len(attempts(harness)) == 1
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_as_its_prefill_ends(tmp_path, way, cancel):
-    with Door(tmp_path) as door:
-        reader = door.platform.servers["s-1"]
-        client = door.ask("a1")
+    with PlatformHarness(tmp_path) as harness:
+        reader = harness.platform.servers["s-1"]
+        client = harness.ask("a1")
 
         def fault(exchange):  # its answer and the client's close reach the gateway in one turn
             if exchange.method != b"POST":
@@ -117,25 +117,25 @@
             return True
 
         reader.fault = fault
-        door.until(lambda: reader.seen)
-        door.loop.run_until(lambda: False, 220 * MS)
-        assert len(attempts(door)) == 1
-        door.settled()
+        harness.until(lambda: reader.seen)
+        harness.loop.run_until(lambda: False, 220 * MS)
+        assert len(attempts(harness)) == 1
+        harness.wait_settled()
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_while_a_connection_comes_up(tmp_path, way, cancel, monkeypatch):
     monkeypatch.setattr(http1_client, "connect", LateConnect)
-    with Door(tmp_path) as door:
-        client = door.ask("a1")
-        door.until(lambda: door.core.counts["forwards"])
-        leaves(door, client, way)
-        assert not attempts(door)
+    with PlatformHarness(tmp_path) as harness:
+        client = harness.ask("a1")
+        harness.until(lambda: harness.core.counts["forwards"])
+        leaves(harness, client, way)
+        assert not attempts(harness)
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_while_a_retry_waits_for_its_connection(tmp_path, way, cancel, monkeypatch):
-    with Door(tmp_path, ("both", "both")) as door:
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
 
         def fault(exchange):
             if exchange.method != b"POST":
@@ -144,88 +144,88 @@
             exchange.respond(503, b"", more=[(b"srv-declined", b"1")])
             return True
 
-        for server in door.platform.servers.values():
+        for server in harness.platform.servers.values():
             server.fault = fault
-        client = door.ask("a1")
-        door.until(lambda: door.core.counts["forwards"] == 2)
-        leaves(door, client, way)
-        assert len(attempts(door)) == 1
+        client = harness.ask("a1")
+        harness.until(lambda: harness.core.counts["forwards"] == 2)
+        leaves(harness, client, way)
+        assert len(attempts(harness)) == 1
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_while_a_list_of_1024_servers_is_worked_in(tmp_path, way, cancel):
     """The list holds the loop for longer than a client that has gone may be served."""
-    with Door(tmp_path, ("both", "both")) as door:
-        rows = door.node.rows
-        client = door.ask("a1")
-        door.until(lambda: door.node.server.connections)
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        rows = harness.node.server_list
+        client = harness.ask("a1")
+        harness.until(lambda: harness.node.server.connections)
         near = list(rows.rows.values())
         rows.rows |= {f"x-{i}": Row(f"x-{i}", 0, 0, 2, 1.0, 0, "draining") for i in range(1022)}
-        taken = door.core.take
+        taken = harness.core.take
 
         def take(spec, listener):  # the list and the request are in one turn; the client goes while it is worked in
             req = taken(spec, listener)
-            door.node.on_rows()
-            on_servers = door.core.router.on_servers
+            harness.node.on_rows()
+            on_servers = harness.core.router.on_servers
 
             def slow(*args):
                 on_servers(*args)
                 WAYS[way](client)
 
-            door.core.router.on_servers = slow
-            door.core.events.insert(0, door.core.events.pop())
+            harness.core.router.on_servers = slow
+            harness.core.events.insert(0, harness.core.events.pop())
             return req
 
-        door.core.take = take
-        door.until(lambda: len(door.core.router.machines) == 1024)
-        door.loop.run_until(lambda: False, 220 * MS)
-        assert not attempts(door) and near
-        door.settled()
+        harness.core.take = take
+        harness.until(lambda: len(harness.core.router.machines) == 1024)
+        harness.loop.run_until(lambda: False, 220 * MS)
+        assert not attempts(harness) and near
+        harness.wait_settled()
 
 
 @pytest.mark.parametrize("way", WAYS)
 def test_leaves_while_its_stream_is_held_up(tmp_path, way, cancel):
     """It takes nothing of its stream, so its server is not read; then it goes: the server is given up."""
-    with Door(tmp_path, ("both",)) as door:
-        server = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        server = harness.platform.servers["s-1"]
         server.events, server.pause_us = 100_000, 0
         server.event = lambda number, of=type(server).event: of(number).replace(b"w", b"w" * 2000, 1)
-        client = door.client()
+        client = harness.client()
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        door.until(lambda: door.node.server.connections)
-        (conn,) = door.node.server.connections
+        harness.until(lambda: harness.node.server.connections)
+        (conn,) = harness.node.server.connections
         conn.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(head("a1") + BODY)
-        door.until(lambda: any(r.paused for r in door.core.reqs.values()))
+        harness.until(lambda: any(r.paused for r in harness.core.reqs.values()))
         WAYS[way](client)
-        door.until(lambda: not door.core.reqs, 1_000_000)
-        assert len(attempts(door)) == 1
+        harness.until(lambda: not harness.core.reqs, 1_000_000)
+        assert len(attempts(harness)) == 1
 
 
 def test_what_comes_behind_an_open_request_is_bounded(tmp_path):
     """Seen in the code: past its bound the connection was not read any more, and could not be seen to leave. What is
     kept is answered in turn; a client that sends on past all bounds is cut off."""
-    with Door(tmp_path, ("both",)) as door:
-        door.platform.servers["s-1"].pause_us = 100 * MS
-        client = door.ask("a1")
-        door.until(lambda: client.status)
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        harness.platform.servers["s-1"].pause_us = 100 * MS
+        client = harness.ask("a1")
+        harness.until(lambda: client.status)
         kept = 20
         client.send(b"".join(head(f"p{i}", Req_Deadline="30.000") + BODY for i in range(kept)))
-        door.until(lambda: client.look().count(b"0\r\n\r\n") == 1 + kept, 30_000 * MS)
-        assert client.got.count(b"HTTP/1.1 200") == 1 + kept == len(attempts(door)) and not client.closed
+        harness.until(lambda: client.receive().count(b"0\r\n\r\n") == 1 + kept, 30_000 * MS)
+        assert client.got.count(b"HTTP/1.1 200") == 1 + kept == len(attempts(harness)) and not client.closed
         client.close()
-        door.until(lambda: not door.node.server.connections)
-        before = len(attempts(door))
-        client = door.ask("b1")
-        door.until(lambda: client.status)
+        harness.until(lambda: not harness.node.server.connections)
+        before = len(attempts(harness))
+        client = harness.ask("b1")
+        harness.until(lambda: client.status)
         flood(client)
-        client.whole()
+        client.wait_answer()
         assert client.status == 200 and client.got.endswith(b"0\r\n\r\n")  # the answer is whole, then the end
-        door.until(lambda: client.look() and client.closed)
-        assert client.got.count(b"HTTP/1.1 ") == 1 and len(attempts(door)) == before + 1
-        client = door.ask("a2")
-        door.until(lambda: client.status)
-        (conn,) = door.node.server.connections
+        harness.until(lambda: client.receive() and client.closed)
+        assert client.got.count(b"HTTP/1.1 ") == 1 and len(attempts(harness)) == before + 1
+        client = harness.ask("a2")
+        harness.until(lambda: client.status)
+        (conn,) = harness.node.server.connections
         sent = 0
         try:
             while sent < 8 << 20:  # far more: it is cut off
@@ -234,9 +234,9 @@
                     sent += client.sock.send(PIPELINED * 20)
                 except BlockingIOError:
                     pass
-                door.loop.turn(1000)
-                assert len(conn.raw) <= door.node.server.limits.pipelined_bytes
+                harness.loop.turn(1000)
+                assert len(conn.raw) <= harness.node.server.limits.pipelined_bytes
         except OSError:
             pass
-        assert sent < 8 << 20 and not door.node.server.connections
-        door.settled()
+        assert sent < 8 << 20 and not harness.node.server.connections
+        harness.wait_settled()
--- a/tests/test_log_faults.py
+++ b/tests/test_log_faults.py
@@ -5,7 +5,7 @@
 import threading
 
 import pytest
-from platform_door import Door
+from platform_harness import PlatformHarness
 
 from lapiswing.observe import start_logs
 
@@ -29,12 +29,12 @@
 def test_a_log_that_can_not_be_written_stops_nothing(tmp_path):
     """Seen in the reading: the first line of a stop raised, and the port was never closed."""
     sink = Full()
-    with Door(tmp_path, ("both", "both"), log=start_logs("info", sink=sink)) as door:
-        assert door.ask("a0").whole().status == 200
-        door.loop.running = True
-        door.node.stop()
-        door.until(lambda: not door.loop.running, 5 * S)
-        assert sink.tries and door.node.listener.closed
+    with PlatformHarness(tmp_path, ("both", "both"), log=start_logs("info", sink=sink)) as harness:
+        assert harness.ask("a0").wait_answer().status == 200
+        harness.loop.running = True
+        harness.node.stop()
+        harness.until(lambda: not harness.loop.running, 5 * S)
+        assert sink.tries and harness.node.listener.closed
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 import weakref
 
 import pytest
-from platform_door import BODY, SETTINGS, Door, Quiet, head
+from platform_harness import BODY, SETTINGS, PlatformHarness, RecordingLog, head
 from trace import Recorder
 
 from lapiswing.gateway import core as core_module
@@ -22,7 +22,7 @@
 from lapiswing.node import view
 from lapiswing.node.config import checked, load
 from lapiswing.membership.starts import ServerStarts
-from lapiswing.node.discovery import DECODER, WAIT_MS, Rows
+from lapiswing.node.discovery import DECODER, WAIT_MS, ServerList
 from lapiswing.node.outcomes import load_of, of_failure, of_status
 from lapiswing.policy import Router
 from lapiswing.standin.platform import Discovery
@@ -31,21 +31,21 @@
 
 
 def test_a_req_is_read_and_written_and_its_stream_passed_on_unchanged(tmp_path):
-    with Door(tmp_path) as door:
-        for server in door.platform.servers.values():
+    with PlatformHarness(tmp_path) as harness:
+        for server in harness.platform.servers.values():
             server.load = b"TEXT inflight=1, queue=0, x0=0.2, x1=0.1"
-        client = door.ask("a1").whole()
-        assert client.status == 200 and not client.cut
-        assert client.body == door.platform.servers["s-2"].whole()
-        sent = door.platform.seen(b"POST")
+        client = harness.ask("a1").wait_answer()
+        assert client.status == 200 and not client.truncated
+        assert client.body == harness.platform.servers["s-2"].whole()
+        sent = harness.platform.seen(b"POST")
         assert [row[0] for row in sent][0] == "s-1" and len(sent) == 2
         assert {row[1:] for row in sent} == {(b"POST", b"/v1/chat/completions", "a1", BODY)}
-        door.settled()
+        harness.wait_settled()
 
 
 def test_a_req_leaves_nothing_behind_without_a_collection(tmp_path):
     """Seen: memory grew by 0.13 of G on a day of churn, as bodies hung on cycles of ended reqs."""
-    with Door(tmp_path, ("read", "write", "both")) as door:
+    with PlatformHarness(tmp_path, ("read", "write", "both")) as harness:
         seen = []
         for module, name in ((core_module, "Req"), (node_servers, "Forward")):
             made = getattr(module, name)
@@ -56,16 +56,16 @@
                 seen.append(weakref.ref(self))
 
             made.__init__ = init
-            door.loop.soon(lambda: None)
+            harness.loop.soon(lambda: None)
             try:
                 gc.collect()
                 gc.disable()
                 for i in range(6):
-                    client = door.ask(f"r{name}{i}").whole()
+                    client = harness.ask(f"r{name}{i}").wait_answer()
                     client.close()
-                door.settled()
-                door.until(lambda: not door.node.server.connections)
-                door.loop.run_until(lambda: False, 30_000)
+                harness.wait_settled()
+                harness.until(lambda: not harness.node.server.connections)
+                harness.loop.run_until(lambda: False, 30_000)
             finally:
                 made.__init__ = made_init
                 gc.enable()
@@ -91,8 +91,8 @@
 def test_a_release_does_not_reach_the_state_of_the_next_read(tmp_path):
     """Seen: of 30 writes spoilt before their first event, all but a few were pushed back. The next writer had no state to
     fetch, the module read again, and the release of the first state dropped the second."""
-    with Door(tmp_path, ("read", "write", "write", "write")) as door:
-        reader, *writers = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("read", "write", "write", "write")) as harness:
+        reader, *writers = harness.platform.servers.values()
         reader.read_us = 60_000
         first = []
 
@@ -106,10 +106,10 @@
 
         for writer in writers:
             writer.fault = fault
-        client = door.ask("a1").whole()
-        assert client.status == 200 and not client.cut
-        door.settled()
-        rows = [(row[1], row[0]) for row in door.platform.seen()]
+        client = harness.ask("a1").wait_answer()
+        assert client.status == 200 and not client.truncated
+        harness.wait_settled()
+        rows = [(row[1], row[0]) for row in harness.platform.seen()]
         assert [r for r in rows if r[0] == b"POST"].count((b"POST", "s-1")) == 2  # read once more, and no third time
 
 
@@ -145,49 +145,49 @@
 
 @pytest.mark.parametrize("name", BAD)
 def test_a_bad_client_gets_an_error_or_a_close_and_nothing_goes_on(tmp_path, name):
-    with Door(tmp_path) as door:
-        client = door.client(BAD[name])
-        door.until(client.ended, 3_000_000)
+    with PlatformHarness(tmp_path) as harness:
+        client = harness.client(BAD[name])
+        harness.until(client.ended, 3_000_000)
         assert client.closed or 400 <= client.status < 600
-        door.until(lambda: not door.node.server.connections, 3_000_000)
-        assert door.platform.seen(b"POST", b"PUT") == []
-        assert door.ask("good").whole().status == 200
+        harness.until(lambda: not harness.node.server.connections, 3_000_000)
+        assert harness.platform.seen(b"POST", b"PUT") == []
+        assert harness.ask("good").wait_answer().status == 200
 
 
 def test_what_stands_behind_a_bad_request_is_not_read(tmp_path):
     """Seen: 500 bad requests in one piece held the loop for 30 ms."""
-    with Door(tmp_path) as door:
-        client = door.client(bad(Req_Kind="x") * 300).whole()
-        door.until(lambda: client.ended() and client.closed)
-        assert client.got.count(b"HTTP/1.1 400") <= 1 and door.node.server.requests == 1
+    with PlatformHarness(tmp_path) as harness:
+        client = harness.client(bad(Req_Kind="x") * 300).wait_answer()
+        harness.until(lambda: client.ended() and client.closed)
+        assert client.got.count(b"HTTP/1.1 400") <= 1 and harness.node.server.requests == 1
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /v1", head("h1")[:-2], head("h1") + BODY[:10]])
 def test_a_request_that_does_not_come_is_closed_within_3_s_of_connecting(tmp_path, sent):
-    with Door(tmp_path) as door:
-        client, begun = door.client(sent), door.loop.clock.now_us()
-        door.until(client.ended, 4_000_000)
-        assert door.loop.clock.now_us() - begun < 2_900_000 and not door.platform.seen(b"POST")
+    with PlatformHarness(tmp_path) as harness:
+        client, begun = harness.client(sent), harness.loop.clock.now_us()
+        harness.until(client.ended, 4_000_000)
+        assert harness.loop.clock.now_us() - begun < 2_900_000 and not harness.platform.seen(b"POST")
 
 
 def test_the_id_of_an_open_request_is_refused(tmp_path):
-    with Door(tmp_path) as door:
-        door.platform.servers["s-1"].read_us = 200_000
-        first = door.ask("same")
-        door.until(lambda: door.core.reqs)
-        second = door.ask("same").whole()
-        assert second.status == 409 and first.whole().status == 200
-        assert len(door.platform.seen(b"POST")) == 2
-        door.settled()
+    with PlatformHarness(tmp_path) as harness:
+        harness.platform.servers["s-1"].read_us = 200_000
+        first = harness.ask("same")
+        harness.until(lambda: harness.core.reqs)
+        second = harness.ask("same").wait_answer()
+        assert second.status == 409 and first.wait_answer().status == 200
+        assert len(harness.platform.seen(b"POST")) == 2
+        harness.wait_settled()
 
 
 def test_hundreds_of_silent_connections_leave_room_for_usual_clients(tmp_path):
-    with Door(tmp_path, sockets=128) as door:
-        most = door.node.clients
-        silent = [door.client() for _ in range(most + 40)]
-        door.until(lambda: door.node.listener.open >= most)
-        assert all(door.ask(f"u{i}").whole().status == 200 for i in range(5))
-        assert door.node.listener.open <= most
+    with PlatformHarness(tmp_path, sockets=128) as harness:
+        most = harness.node.clients
+        silent = [harness.client() for _ in range(most + 40)]
+        harness.until(lambda: harness.node.listener.open >= most)
+        assert all(harness.ask(f"u{i}").wait_answer().status == 200 for i in range(5))
+        assert harness.node.listener.open <= most
         for client in silent:
             client.close()
 
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("name", NOISE)
 def test_an_answer_spoilt_before_its_first_event_is_a_failed_forward(tmp_path, name):
-    with Door(tmp_path, ("both", "both")) as door:
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
         left = [1]
 
         def fault(exchange):
@@ -213,11 +213,11 @@
             exchange.write(NOISE[name])
             return True
 
-        for server in door.platform.servers.values():
+        for server in harness.platform.servers.values():
             server.fault = fault
-        client = door.ask("a1").whole()
-        assert client.status == 200 and not client.cut and client.body == door.platform.servers["s-1"].whole()
-        assert len(door.platform.seen(b"POST")) == 2
+        client = harness.ask("a1").wait_answer()
+        assert client.status == 200 and not client.truncated and client.body == harness.platform.servers["s-1"].whole()
+        assert len(harness.platform.seen(b"POST")) == 2
 
 
 EVENT = b'data: {"choices":[{"index":0,"delta":{"content":"w"},"finish_reason":null}]}\n\n'
@@ -237,21 +237,21 @@
 
 @pytest.mark.parametrize("name", LATER)
 def test_an_answer_spoilt_later_ends_the_client_without_the_last_chunk(tmp_path, name):
-    with Door(tmp_path, ("both",)) as door:
+    with PlatformHarness(tmp_path, ("both",)) as harness:
 
         def fault(exchange):
             if exchange.path != b"/v1/chat/completions":
                 return False
             exchange.write(START)
-            door.loop.call_later(30_000, exchange.write, LATER[name])
+            harness.loop.call_later(30_000, exchange.write, LATER[name])
             return True
 
-        door.platform.servers["s-1"].fault = fault
-        client = door.ask("a1")
-        door.until(lambda: client.look() and client.closed, 5_000_000)
-        assert client.status == 200 and client.cut and client.body.startswith(EVENT)
-        assert len(door.platform.seen(b"POST")) == 1
-        door.settled()
+        harness.platform.servers["s-1"].fault = fault
+        client = harness.ask("a1")
+        harness.until(lambda: client.receive() and client.closed, 5_000_000)
+        assert client.status == 200 and client.truncated and client.body.startswith(EVENT)
+        assert len(harness.platform.seen(b"POST")) == 1
+        harness.wait_settled()
 
 
 MORE = {
@@ -263,9 +263,9 @@
 
 @pytest.mark.parametrize("name", MORE)
 def test_what_does_not_belong_to_a_good_answer_does_no_harm(tmp_path, name):
-    with Door(tmp_path, ("both",)) as door:
+    with PlatformHarness(tmp_path, ("both",)) as harness:
         ahead, behind = MORE[name]
-        server = door.platform.servers["s-1"]
+        server = harness.platform.servers["s-1"]
 
         def fault(exchange):
             if exchange.path != b"/v1/chat/completions":
@@ -277,100 +277,100 @@
         server.fault = fault
         server.load = b"TEXT inflight=many, queue"
         for i in range(3):
-            client = door.ask(f"a{i}").whole()
-            assert client.status == 200 and not client.cut and client.body == server.whole()
+            client = harness.ask(f"a{i}").wait_answer()
+            assert client.status == 200 and not client.truncated and client.body == server.whole()
         if behind:
-            assert door.node.pool.reused == 0
-        door.settled()
+            assert harness.node.pool.reused == 0
+        harness.wait_settled()
 
 
 def test_a_stream_that_stops_short_ends_its_client_within_5_s(tmp_path):
     """Seen: two clients left waiting on streams that had stopped broke the rule on lost requests."""
-    with Door(tmp_path, ("both",)) as door:
-        door.platform.servers["s-1"].fault = spoilt(START)
-        client = door.ask("a1")
-        door.until(lambda: EVENT in client.look())
-        begun = door.loop.clock.now_us()
-        door.until(lambda: client.look() and client.closed, 6_000_000)
-        assert 3_500_000 < door.loop.clock.now_us() - begun < 4_900_000 and client.cut
-        door.settled()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        harness.platform.servers["s-1"].fault = spoilt(START)
+        client = harness.ask("a1")
+        harness.until(lambda: EVENT in client.receive())
+        begun = harness.loop.clock.now_us()
+        harness.until(lambda: client.receive() and client.closed, 6_000_000)
+        assert 3_500_000 < harness.loop.clock.now_us() - begun < 4_900_000 and client.truncated
+        harness.wait_settled()
 
 
 # ---- discovery, signals, configuration
 
 
 def test_servers_come_drain_and_go_by_the_watch(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        platform, old = door.platform, door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        platform, old = harness.platform, harness.platform.servers["s-1"]
         new = platform.add("both")
         platform.discovery.tell(new.row())
-        door.until(lambda: len(door.node.rows.rows) == 2)
+        harness.until(lambda: len(harness.node.server_list.rows) == 2)
         old.status = "DRAINING"
         platform.discovery.tell(old.row())
-        door.until(lambda: door.core.router.machines["s-1"].mode == "draining")
+        harness.until(lambda: harness.core.router.machines["s-1"].mode == "draining")
         for i in range(4):
-            assert door.ask(f"a{i}").whole().status == 200
+            assert harness.ask(f"a{i}").wait_answer().status == 200
         assert {row[0] for row in platform.seen(b"POST")} == {"s-2"}
         platform.discovery.tell(platform.remove(old))
-        door.until(lambda: "s-1" not in door.core.router.machines)
-        assert "s-1" not in door.core.kinds and "s-1" not in door.node.servers.addresses
+        harness.until(lambda: "s-1" not in harness.core.router.machines)
+        assert "s-1" not in harness.core.kinds and "s-1" not in harness.node.servers.addresses
 
 
 @pytest.mark.parametrize("how", ["silent", "garbage"])
 def test_discovery_that_says_nothing_to_be_read_leaves_the_list_standing(tmp_path, how):
-    with Door(tmp_path, ("both",)) as door:
-        discovery = door.platform.discovery
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        discovery = harness.platform.discovery
         setattr(discovery, how, True)
-        discovery.tell(door.platform.servers["s-1"].row())
-        door.until(lambda: any("discovery silent" in line for line in door.log.lines), 8_000_000)
-        assert door.ask("a1").whole().status == 200
+        discovery.tell(harness.platform.servers["s-1"].row())
+        harness.until(lambda: any("discovery silent" in line for line in harness.log.lines), 8_000_000)
+        assert harness.ask("a1").wait_answer().status == 200
         setattr(discovery, how, False)
-        door.until(lambda: any("discovery heard" in line for line in door.log.lines), 8_000_000)
+        harness.until(lambda: any("discovery heard" in line for line in harness.log.lines), 8_000_000)
 
 
 def test_a_reload_moves_to_the_new_discovery_under_load_and_a_bad_file_changes_nothing(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        server = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        server = harness.platform.servers["s-1"]
         server.pause_us = 100_000
-        client = door.ask("a1")
-        door.until(lambda: client.status)
-        other = Discovery(door.platform)
+        client = harness.ask("a1")
+        harness.until(lambda: client.status)
+        other = Discovery(harness.platform)
         other.index = 90
-        for text in ("{", json.dumps({**door.config, "discovery": "nowhere"})):
-            door.path.write_text(text)
-            door.node.reload()
-        assert door.node.discovery.address == address_of(door.platform.discovery.address)
-        assert sum("configuration can't be read" in line[0] for line in door.log.lines) == 2
-        for address in (other.address, door.platform.discovery.address, other.address):
-            door.path.write_text(json.dumps({**door.config, "discovery": address}))
-            door.node.reload()
-        added = door.platform.add("both")
+        for text in ("{", json.dumps({**harness.config, "discovery": "nowhere"})):
+            harness.path.write_text(text)
+            harness.node.reload()
+        assert harness.node.discovery.address == address_of(harness.platform.discovery.address)
+        assert sum("configuration can't be read" in line[0] for line in harness.log.lines) == 2
+        for address in (other.address, harness.platform.discovery.address, other.address):
+            harness.path.write_text(json.dumps({**harness.config, "discovery": address}))
+            harness.node.reload()
+        added = harness.platform.add("both")
         other.tell(added.row())
-        door.until(lambda: added.name in door.node.rows.rows)
-        assert client.whole().status == 200 and not client.cut
+        harness.until(lambda: added.name in harness.node.server_list.rows)
+        assert client.wait_answer().status == 200 and not client.truncated
         other.server.listener.close()
         other.server.close()
 
 
 def test_sigterm_ends_what_was_taken_and_sends_others_away(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        server, stopped = door.platform.servers["s-1"], []
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        server, stopped = harness.platform.servers["s-1"], []
         server.pause_us = 250_000
-        door.loop.stop = lambda: stopped.append(door.loop.clock.now_us())
-        kept = door.ask("a0").whole()
-        client = door.ask("a1")
-        door.until(lambda: client.status)
-        door.node.stop()
-        door.node.stop()  # a second one does no harm
-        late = door.ask("a2").whole()
+        harness.loop.stop = lambda: stopped.append(harness.loop.clock.now_us())
+        kept = harness.ask("a0").wait_answer()
+        client = harness.ask("a1")
+        harness.until(lambda: client.status)
+        harness.node.stop()
+        harness.node.stop()  # a second one does no harm
+        late = harness.ask("a2").wait_answer()
         kept.got = b""
         kept.send(head("a3") + BODY)
-        for one in (late, kept.whole()):
+        for one in (late, kept.wait_answer()):
             assert one.status == 503 and b"retry-after: 1.0" in one.got.lower() and b"connection: close" in one.got.lower()
-        assert door.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").whole().status == 503
-        assert client.whole().status == 200 and not client.cut
-        door.until(lambda: stopped)
-        assert not door.core.reqs and [row[3] for row in door.platform.seen(b"POST")] == ["a0", "a1"]
+        assert harness.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").wait_answer().status == 503
+        assert client.wait_answer().status == 200 and not client.truncated
+        harness.until(lambda: stopped)
+        assert not harness.core.reqs and [row[3] for row in harness.platform.seen(b"POST")] == ["a0", "a1"]
 
 
 FAULTS = {
@@ -412,10 +412,10 @@
 
 
 def test_the_program_serves_and_ends_on_sigterm(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
+    with PlatformHarness(tmp_path, ("both",)) as harness:
         (port,) = free_ports(1)
         path = tmp_path / "own.json"
-        path.write_text(json.dumps({**door.config, "listen": f"127.0.0.1:{port}"}))
+        path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}"}))
         program = subprocess.Popen(
             [sys.executable, "-m", "lapiswing.node"],
             env={**os.environ, "RELAY_CONFIG": str(path)},
@@ -424,10 +424,10 @@
         )
         try:
             assert "listening" in program.stderr.readline() + program.stderr.readline()
-            door.port = port
-            assert door.ask("a1").whole().status == 200
+            harness.port = port
+            assert harness.ask("a1").wait_answer().status == 200
             program.send_signal(signal.SIGHUP)
-            assert door.ask("a2").whole().status == 200
+            assert harness.ask("a2").wait_answer().status == 200
             program.send_signal(signal.SIGTERM)
             assert program.wait(10) == 0
         finally:
@@ -462,20 +462,20 @@
 
 
 def test_a_client_that_leaves_takes_its_forward_back_and_its_state_is_released(tmp_path):
-    with Door(tmp_path) as door:
-        reader = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path) as harness:
+        reader = harness.platform.servers["s-1"]
         reader.read_us = 300_000
-        client = door.ask("a1")
-        door.until(lambda: reader.seen)
+        client = harness.ask("a1")
+        harness.until(lambda: reader.seen)
         client.close()
-        door.until(lambda: reader.left == 1)
-        door.settled()
-        assert [row[1:4] for row in door.platform.seen(b"DELETE")] == [(b"DELETE", b"/bootstrap/rooms/a1", "")]
+        harness.until(lambda: reader.left == 1)
+        harness.wait_settled()
+        assert [row[1:4] for row in harness.platform.seen(b"DELETE")] == [(b"DELETE", b"/bootstrap/rooms/a1", "")]
 
 
 def test_a_release_goes_to_another_server_where_its_holder_is_cut_off(tmp_path):
-    with Door(tmp_path) as door:
-        reader, *writers = door.platform.servers.values()
+    with PlatformHarness(tmp_path) as harness:
+        reader, *writers = harness.platform.servers.values()
         begun = []
 
         def gone(exchange):  # holds the state and answers nothing more
@@ -485,28 +485,28 @@
 
         def error(exchange):
             if exchange.path == b"/v1/chat/completions":
-                begun.append(door.loop.clock.now_us())
+                begun.append(harness.loop.clock.now_us())
                 exchange.respond(500)
                 return True
 
         for writer in writers:
             writer.fault = error
-        client = door.ask("a1").whole()
+        client = harness.ask("a1").wait_answer()
         assert client.status in (502, 503)
-        told = lambda: [row for row in door.platform.seen(b"DELETE") if row[0] != "s-1"]  # noqa: E731
-        door.until(told)
-        assert door.loop.clock.now_us() - begun[-1] < 500_000  # the platform's time for it
-        door.settled()
+        told = lambda: [row for row in harness.platform.seen(b"DELETE") if row[0] != "s-1"]  # noqa: E731
+        harness.until(told)
+        assert harness.loop.clock.now_us() - begun[-1] < 500_000  # the platform's time for it
+        harness.wait_settled()
 
 
 def test_a_server_that_is_not_there_proves_that_the_forward_did_not_run(tmp_path):
-    with Door(tmp_path, ("both", "both")) as door:
-        dead = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        dead = harness.platform.servers["s-1"]
         dead.server.listener.close()
         dead.server.close()
         for i in range(4):
-            assert door.ask(f"a{i}").whole().status == 200
-        assert all(row[0] == "s-2" for row in door.platform.seen(b"POST"))
+            assert harness.ask(f"a{i}").wait_answer().status == 200
+        assert all(row[0] == "s-2" for row in harness.platform.seen(b"POST"))
 
 
 class Heard(Router):
@@ -517,12 +517,12 @@
 
 def test_the_module_hears_what_the_client_said(tmp_path, monkeypatch):
     monkeypatch.setattr(node_serve.Node.__init__, "__defaults__", (None, Heard))
-    with Door(tmp_path, ("both",)) as door:
-        now = door.loop.clock.now_us()
-        door.ask("a1", Req_Retry="1").whole()
-        door.ask("a2", Req_Retry="again", Req_Key=None, Req_Extra=None, Req_Deadline="0.5").whole()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        now = harness.loop.clock.now_us()
+        harness.ask("a1", Req_Retry="1").wait_answer()
+        harness.ask("a2", Req_Retry="again", Req_Key=None, Req_Extra=None, Req_Deadline="0.5").wait_answer()
         (_, rid, tokens, expires, session, prefix, prefix_tokens, most_out, hint, bits, tenant, group), two = (
-            door.core.router.heard
+            harness.core.router.heard
         )
         assert (rid, tokens, session, prefix, prefix_tokens, most_out, hint, bits, tenant, group) == (
             "a1",
@@ -542,18 +542,18 @@
 
 
 def test_what_the_module_gives_up_on_is_answered_at_once_with_when_to_come_back(tmp_path):
-    with Door(tmp_path, ("read",)) as door:  # nobody writes
-        begun = door.loop.clock.now_us()
-        client = door.ask("a1").whole()
+    with PlatformHarness(tmp_path, ("read",)) as harness:  # nobody writes
+        begun = harness.loop.clock.now_us()
+        client = harness.ask("a1").wait_answer()
         assert client.status == 503 and b"retry-after: " in client.got.lower()
-        assert door.loop.clock.now_us() - begun < 500_000 and not door.platform.seen(b"POST")
+        assert harness.loop.clock.now_us() - begun < 500_000 and not harness.platform.seen(b"POST")
 
 
 @pytest.mark.parametrize("status, held, left", [(200, True, True), (409, False, False), (404, False, False), (204, None, True)])
 def test_a_held_place_is_told_and_released(tmp_path, status, held, left):
     """A place may be held though the server does not know."""
-    with Door(tmp_path) as door:
-        reader, writer, _ = door.platform.servers.values()
+    with PlatformHarness(tmp_path) as harness:
+        reader, writer, _ = harness.platform.servers.values()
         reader.read_us = 100_000
 
         def fault(exchange):
@@ -562,52 +562,52 @@
                 return True
 
         writer.fault = fault
-        client = door.ask("a1")
-        door.until(lambda: reader.seen)
+        client = harness.ask("a1")
+        harness.until(lambda: reader.seen)
         told = []
-        door.core.place, real = lambda *args: (told.append(args[-1]), real(*args)), door.core.place
-        door.core.hold_place("a1", writer.name)
-        door.until(lambda: told)
-        assert told == [held] and (door.core.reqs["a1"].left is not None) == left
+        harness.core.place, real = lambda *args: (told.append(args[-1]), real(*args)), harness.core.place
+        harness.core.hold_place("a1", writer.name)
+        harness.until(lambda: told)
+        assert told == [held] and (harness.core.reqs["a1"].left is not None) == left
         client.close()
-        door.settled()
-        assert door.platform.seen(b"DELETE")
+        harness.wait_settled()
+        assert harness.platform.seen(b"DELETE")
 
 
 def test_the_view_of_each_server_is_what_the_sockets_show(tmp_path):
-    with Door(tmp_path, ("both", "both")) as door:
-        for server in door.platform.servers.values():
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        for server in harness.platform.servers.values():
             server.pause_us = 100_000
-        clients = [door.ask(f"a{i}") for i in range(6)]
-        door.until(lambda: all(c.status for c in clients))
-        rows = view.rows(door.core, door.node.servers, door.node.pool)
+        clients = [harness.ask(f"a{i}") for i in range(6)]
+        harness.until(lambda: all(c.status for c in clients))
+        rows = view.rows(harness.core, harness.node.servers, harness.node.pool)
         assert sum(r["believed"] for r in rows) == 6 and all(r["believed"] == r["out"] == r["busy"] for r in rows)
-        door.node.show()
-        assert sum(line[0] == "view" for line in door.log.lines) == 3
+        harness.node.show()
+        assert sum(line[0] == "view" for line in harness.log.lines) == 3
         for client in clients:
-            client.whole()
-        door.settled()
+            client.wait_answer()
+        harness.wait_settled()
 
 
 def test_thousands_of_servers_and_reqs_leave_nothing_behind(tmp_path):
-    with Door(tmp_path, ("both", "both")) as door:
-        core, rows = door.core, door.node.rows
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        core, rows = harness.core, harness.node.server_list
         first = list(rows.rows.values())
         for i in range(1500):
             rows.rows = {r.id: r for r in first + [first[0]._replace(id=f"x-{i}", kind=i % 3)]}
-            door.node.on_rows()
+            harness.node.on_rows()
             core.turn()
         for i in range(300):
-            client = door.ask(f"a{i}", Req_Key=f"k{i}").whole()
+            client = harness.ask(f"a{i}", Req_Key=f"k{i}").wait_answer()
             assert client.status == 200
             client.close()
-        door.settled()
-        door.until(lambda: not door.node.server.connections)
+        harness.wait_settled()
+        harness.until(lambda: not harness.node.server.connections)
         router = core.router
         assert len(router.machines) <= 3 and len(core.kinds) <= 3 and len(core.tally.boxes) <= 3
         assert max(router.table.pairs.shape) <= 3 and len(router.taken) <= 3 and not router.reqs and not core.ended
-        assert len(door.node.pool.count) <= 2 and len(door.node.pool.all) <= 2 * door.node.pool.kept
-        assert len(door.loop.watched) < 40 and len([t for t in door.loop.timers if t[2].call is not None]) < 20
+        assert len(harness.node.pool.count) <= 2 and len(harness.node.pool.all) <= 2 * harness.node.pool.max_idle_per_address
+        assert len(harness.loop.watched) < 40 and len([t for t in harness.loop.timers if t[2].call is not None]) < 20
 
 
 def test_room_is_looked_for_once_a_turn(tmp_path, monkeypatch):
@@ -615,13 +615,13 @@
     hundreds for each one accepted, and reqs waited 0.9 s."""
     peeks, real = [], Stream.pending
     monkeypatch.setattr(Stream, "pending", lambda self: peeks.append(1) or real(self))
-    with Door(tmp_path, sockets=128) as door:
-        most = door.node.clients
-        crowd = [door.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(4 * most)]
-        turns = door.loop.turns
-        door.until(lambda: all(c.ended() for c in crowd))
-        assert len(peeks) <= 64 * (door.loop.turns - turns)
-        assert door.node.listener.refused == 0  # each was answered
+    with PlatformHarness(tmp_path, sockets=128) as harness:
+        most = harness.node.clients
+        crowd = [harness.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(4 * most)]
+        turns = harness.loop.turns
+        harness.until(lambda: all(c.ended() for c in crowd))
+        assert len(peeks) <= 64 * (harness.loop.turns - turns)
+        assert harness.node.listener.refused == 0  # each was answered
         for client in crowd:
             client.close()
 
@@ -657,7 +657,7 @@
 )
 def test_a_row_that_can_not_be_read_costs_that_one_alone(bad):
     """The others of the list stand as told; a server whose own row can't be read gets nothing new."""
-    rows, log = Rows(["read"], ["a"], ServerStarts(0)), Quiet()
+    rows, log = ServerList(["read"], ["a"], ServerStarts(0)), RecordingLog()
     rows.take(rows_of(endpoint("s-1"), endpoint("bad"), endpoint("s-2")), 1)
     rows.take(rows_of(bad, endpoint("s-2", status="DRAINING"), endpoint("s-3"), index=6, snapshot=False), 1)
     assert {name: row.mode for name, row in rows.rows.items()} == {"s-1": "ready", "s-2": "draining", "s-3": "ready"}
@@ -671,8 +671,8 @@
 
 
 def test_a_change_without_a_name_asks_for_the_whole_list(tmp_path):
-    with Door(tmp_path) as door:
-        discovery, asked = door.node.discovery, []
+    with PlatformHarness(tmp_path) as harness:
+        discovery, asked = harness.node.discovery, []
         discovery.pool.request = lambda address, method, target, *rest: asked.append(target) or Still()
         for body in (
             b'{"index":90,"snapshot":false,"endpoints":[7]}',
@@ -689,7 +689,7 @@
 
 def test_lists_of_1100_servers_and_1100_gateways_are_taken_changed_and_replaced():
     """No cap below 1,024 on either, in bounded time."""
-    rows, members, out = Rows(["read", "write", "both"], ["a", "b"], ServerStarts(0)), Membership(), Recorder()
+    rows, members, out = ServerList(["read", "write", "both"], ["a", "b"], ServerStarts(0)), Membership(), Recorder()
     router = Router(7, checked("config.json", {**SETTINGS, "Balancers": 1100}), 0)
 
     def some(first, many, **more):
@@ -710,7 +710,7 @@
     ):
         now, before = (step + 1) * S, time.process_time()
         rows.take(rows_of(*endpoints, index=step, snapshot=snapshot), 1)
-        router.round(now, [members.list(list(rows.rows.values()), now)], out)
+        router.round(now, [members.update_list(list(rows.rows.values()), now)], out)
         for n in range(3):
             router.round(now, [("req", f"{step}.{n}", 900, now + 5 * S, f"k{n}", None, 0, 200, None, 0, 0, 0)], out)
         assert sum(m.mode == "ready" for m in router.machines.values()) == (1100, 1060, 1100)[step]
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from platform_door import BODY, Door, head
+from platform_harness import BODY, PlatformHarness, head
 from test_closing import to_the_end
 
 from lapiswing.loop import Clock, Listener, Loop, listen_socket
@@ -30,12 +30,12 @@
 
 
 def test_what_was_read_behind_an_answered_request_is_answered_while_stopping(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        kept = door.ask("a0").whole()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        kept = harness.ask("a0").wait_answer()
         kept.got = b""
-        door.node.stopping = door.core.draining = door.node.server.closing = True
+        harness.node.stopping = harness.core.draining = harness.node.server.closing = True
         kept.send((head("a1") + BODY) * 3)  # one read for the three
-        got, clean = to_the_end(kept.sock, lambda: door.loop.turn(1000))
+        got, clean = to_the_end(kept.sock, lambda: harness.loop.turn(1000))
         assert statuses(got) == [503] * 3 and clean
         assert got.lower().count(b"connection: close") == 1
 
@@ -43,41 +43,41 @@
 @pytest.mark.parametrize("body", [BODY, LONG_BODY], ids=["short", "long"])
 def test_requests_behind_an_open_one_are_answered(tmp_path, body):
     """Past 4 KB they were read, thrown away and closed over."""
-    with Door(tmp_path, ("both",)) as door:
-        door.platform.servers["s-1"].pause_us = 20 * MS
-        client = door.ask("a1")
-        door.until(lambda: client.status)
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        harness.platform.servers["s-1"].pause_us = 20 * MS
+        client = harness.ask("a1")
+        harness.until(lambda: client.status)
         for i in range(5):
             client.send(head(f"b{i}", body) + body)
-        door.until(lambda: client.look().count(b"0\r\n\r\n") == 6)
+        harness.until(lambda: client.receive().count(b"0\r\n\r\n") == 6)
         assert statuses(client.got) == [200] * 6
 
 
 def test_what_all_connections_keep_behind_open_requests_is_bounded(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        server = door.node.server
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        server = harness.node.server
         server.limits = type(server.limits)(**{**vars(server.limits), "all_pipelined_bytes": 100_000})
-        door.platform.servers["s-1"].pause_us = 300 * MS
-        clients = [door.ask(f"a{i}") for i in range(10)]
+        harness.platform.servers["s-1"].pause_us = 300 * MS
+        clients = [harness.ask(f"a{i}") for i in range(10)]
         for client in clients:
-            door.until(lambda client=client: client.status)
+            harness.until(lambda client=client: client.status)
         for client in clients:
             client.send(head("b", LONG_BODY) + LONG_BODY)
-            door.loop.turn(1000)
-        door.until(lambda: sum(c.passed_over > 0 for c in server.connections) >= 5)
+            harness.loop.turn(1000)
+        harness.until(lambda: sum(c.passed_over > 0 for c in server.connections) >= 5)
         assert sum(len(c.raw) for c in server.connections) < 100_000 + len(LONG_BODY) + 1000
         for client in clients:
             client.close()
-        door.settled()
+        harness.wait_settled()
 
 
 def test_half_a_request_that_makes_room_is_refused_and_not_dropped(tmp_path):
-    with Door(tmp_path, ("both",), sockets=128) as door:
-        half = [door.client(head(f"a{i}") + BODY[:40]) for i in range(door.node.clients)]
-        door.until(lambda: sum(c.phase == "body" for c in door.node.server.connections) == len(half))
-        door.loop.run_until(lambda: False, 600 * MS)
-        assert door.ask("b1").whole().status == 200
-        door.until(lambda: any(client.status for client in half))
+    with PlatformHarness(tmp_path, ("both",), sockets=128) as harness:
+        half = [harness.client(head(f"a{i}") + BODY[:40]) for i in range(harness.node.clients)]
+        harness.until(lambda: sum(c.phase == "body" for c in harness.node.server.connections) == len(half))
+        harness.loop.run_until(lambda: False, 600 * MS)
+        assert harness.ask("b1").wait_answer().status == 200
+        harness.until(lambda: any(client.status for client in half))
         assert {client.status for client in half} <= {None, 503}
 
 
@@ -103,13 +103,13 @@
 
 
 def test_a_request_behind_an_open_one_tells_what_is_left_since_it_came(tmp_path):
-    with Door(tmp_path, ("both",)) as door:
-        door.platform.servers["s-1"].pause_us = 150 * MS
-        client = door.ask("a1")
-        door.until(lambda: client.status)
-        told, asked_us = door.told_deadlines(), door.loop.clock.now_us()
+    with PlatformHarness(tmp_path, ("both",)) as harness:
+        harness.platform.servers["s-1"].pause_us = 150 * MS
+        client = harness.ask("a1")
+        harness.until(lambda: client.status)
+        told, asked_us = harness.record_deadlines(), harness.loop.clock.now_us()
         client.send(head("a2", Req_Deadline="2.500") + BODY)
-        door.until(lambda: told)
+        harness.until(lambda: told)
         assert told[0][1] - asked_us > 300 * MS  # it did wait
         assert in_time(told, asked_us, 2_500 * MS), told
 
@@ -117,28 +117,28 @@
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
 def test_a_request_that_came_in_during_a_long_turn_tells_what_is_left(tmp_path, kept):
     clock = SkippingClock()
-    with Door(tmp_path, ("both",), loop=Loop(clock)) as door:
-        client = door.ask("a0").whole()
-        told = door.told_deadlines()
+    with PlatformHarness(tmp_path, ("both",), loop=Loop(clock)) as harness:
+        client = harness.ask("a0").wait_answer()
+        told = harness.record_deadlines()
         asked_us = clock.now_us()
         if kept:
             client.got = b""
-            door.loop.soon(client.send, head("a1", Req_Deadline="2.000") + BODY)
+            harness.loop.soon(client.send, head("a1", Req_Deadline="2.000") + BODY)
         else:
-            door.loop.soon(lambda: setattr(door, "late", door.ask("a1", Req_Deadline="2.000")))
-        door.loop.soon(clock.skip, 600 * MS)  # behind the client's bytes, in the same turn
-        door.until(lambda: told)
+            harness.loop.soon(lambda: setattr(harness, "late", harness.ask("a1", Req_Deadline="2.000")))
+        harness.loop.soon(clock.skip, 600 * MS)  # behind the client's bytes, in the same turn
+        harness.until(lambda: told)
         assert in_time(told, asked_us, 2_000 * MS), told
 
 
 def test_a_request_in_pieces_tells_what_is_left_since_its_first(tmp_path):
     clock = SkippingClock()
-    with Door(tmp_path, ("both",), loop=Loop(clock)) as door:
+    with PlatformHarness(tmp_path, ("both",), loop=Loop(clock)) as harness:
         data = head("a1", Req_Deadline="3.000") + BODY
-        told, asked_us = door.told_deadlines(), clock.now_us()
-        client = door.client(data[:100])
-        door.until(lambda: any(c.phase == "head" for c in door.node.server.connections))
+        told, asked_us = harness.record_deadlines(), clock.now_us()
+        client = harness.client(data[:100])
+        harness.until(lambda: any(c.phase == "head" for c in harness.node.server.connections))
         clock.skip(700 * MS)
         client.send(data[100:])
-        door.until(lambda: told)
+        harness.until(lambda: told)
         assert in_time(told, asked_us, 3_000 * MS), told
--- a/tests/test_reach.py
+++ b/tests/test_release_targets.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from platform_door import Door
+from platform_harness import PlatformHarness
 
 from lapiswing.loop import Loop, ManualClock
-from lapiswing.node.reach import AT_ONCE, PARTS, Reach, more_at
+from lapiswing.node.release_targets import AT_ONCE, PARTS, ReleaseTargets, more_at
 from lapiswing.node.servers import Servers
 
 MS = 1000
@@ -58,7 +58,7 @@
         self.loop = Loop(ManualClock())
         self.network = Network(self.loop, seed)
         self.zones = {f"s-{i}": i % zones for i in range(servers)}
-        self.servers = Servers(self.loop, self.network, [], False, Reach(0, seed), LET_GO_US)
+        self.servers = Servers(self.loop, self.network, [], False, ReleaseTargets(0, seed), LET_GO_US)
         self.servers.listed({name: name for name in self.zones}, self.zones)
 
     def of_zones(self, *zones):
@@ -116,7 +116,7 @@
 
 
 def test_who_was_heard_goes_before_who_was_silent_and_zones_take_turns():
-    reach = Reach(0, 1)
+    reach = ReleaseTargets(0, 1)
     reach.listed({"a1": 0, "a2": 0, "b1": 1, "b2": 1, "c1": 2})
     reach.heard("a2", 10)
     assert reach.order("b1")[:2] == ["b1", "a2"]
@@ -133,7 +133,7 @@
     zones = {f"s-{i}": 0 for i in range(30)}
     first = set()
     for salt in range(100):
-        reach = Reach(0, salt)
+        reach = ReleaseTargets(0, salt)
         reach.listed(zones)
         reach.silent("s-1", 1)
         first.add(reach.order("s-1")[0])
@@ -143,21 +143,21 @@
 def test_a_state_that_no_decode_server_claims_is_released_in_time_though_an_attempt_is_out(tmp_path):
     """Found by the soak, seed 1: a kept connection had fallen silent, and the state was held for 1.8 s: what has not arrived
     is not out, and nothing tells whether it has."""
-    with Door(tmp_path, ("read", "write")) as door:
-        reader, writer = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("read", "write")) as harness:
+        reader, writer = harness.platform.servers.values()
         writer.fault = lambda exchange: exchange.method == b"POST"
-        client = door.ask("a1")
-        door.until(lambda: reader.states)
-        held_us = door.loop.clock.now_us()
-        door.until(lambda: not reader.states)
-        assert door.loop.clock.now_us() - held_us < 500 * MS
+        client = harness.ask("a1")
+        harness.until(lambda: reader.states)
+        held_us = harness.loop.clock.now_us()
+        harness.until(lambda: not reader.states)
+        assert harness.loop.clock.now_us() - held_us < 500 * MS
         assert not client.status  # it still waits: the attempt may have arrived
         client.close()
-        door.settled()
+        harness.wait_settled()
 
 
 def test_a_state_that_is_claimed_in_time_is_not_released_besides(tmp_path):
-    with Door(tmp_path, ("read", "write")) as door:
-        assert door.ask("a1").whole().status == 200
-        door.loop.run_until(lambda: False, 600 * MS)
-        assert not door.platform.seen(b"DELETE")
+    with PlatformHarness(tmp_path, ("read", "write")) as harness:
+        assert harness.ask("a1").wait_answer().status == 200
+        harness.loop.run_until(lambda: False, 600 * MS)
+        assert not harness.platform.seen(b"DELETE")
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from platform_door import Door
+from platform_harness import PlatformHarness
 
 MS, S = 1000, 1_000_000
 HOUR_S = 3600
@@ -26,10 +26,10 @@
     return time.clock_gettime_ns(time.CLOCK_REALTIME) // 1_000_000
 
 
-def cold_for_us(door, server):
+def cold_for_us(harness, server):
     """How long a server is held for cold from now on, at the most."""
-    machine = door.core.router.machines[server.name]
-    left = machine.started_us + door.core.router.cold_us - door.loop.clock.now_us()
+    machine = harness.core.router.machines[server.name]
+    left = machine.started_us + harness.core.router.cold_us - harness.loop.clock.now_us()
     return max(0, left) if machine.started_us else 0
 
 
@@ -49,39 +49,39 @@
 
     monkeypatch.setattr(platform.ModelServer, "__init__", just_started)
     step(seconds)
-    with Door(tmp_path, ("both", "both", "both")) as door:
-        ramp = door.core.router.cold_us
-        for server in door.platform.servers.values():
+    with PlatformHarness(tmp_path, ("both", "both", "both")) as harness:
+        ramp = harness.core.router.cold_us
+        for server in harness.platform.servers.values():
             new = fleet == "all" or server.name == "s-2"
-            assert ramp - 1200 * MS <= cold_for_us(door, server) <= ramp if new else not cold_for_us(door, server)
+            assert ramp - 1200 * MS <= cold_for_us(harness, server) <= ramp if new else not cold_for_us(harness, server)
 
 
 @pytest.mark.parametrize("seconds", [HOUR_S, -HOUR_S, 60, 0])
 def test_a_server_that_starts_later_is_cold_for_one_ramp(tmp_path, step, seconds):
     step(seconds)
-    with Door(tmp_path, ("both", "both")) as door:
-        door.until(lambda: door.platform.discovery.waiting)
-        server = door.platform.servers["s-1"]
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        harness.until(lambda: harness.platform.discovery.waiting)
+        server = harness.platform.servers["s-1"]
         server.since_ms = unix_ms()
-        door.platform.discovery.tell(server.row())
-        door.until(lambda: cold_for_us(door, server))
-        assert door.core.router.cold_us - 300 * MS <= cold_for_us(door, server) <= door.core.router.cold_us
+        harness.platform.discovery.tell(server.row())
+        harness.until(lambda: cold_for_us(harness, server))
+        assert harness.core.router.cold_us - 300 * MS <= cold_for_us(harness, server) <= harness.core.router.cold_us
 
 
 @pytest.mark.parametrize("seconds", [HOUR_S, -HOUR_S])
 def test_a_step_while_the_process_runs_moves_no_start(tmp_path, step, seconds):
-    with Door(tmp_path, ("both", "both")) as door:
-        door.until(lambda: door.platform.discovery.waiting)
-        server, other = door.platform.servers.values()
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        harness.until(lambda: harness.platform.discovery.waiting)
+        server, other = harness.platform.servers.values()
         server.since_ms = unix_ms()
-        door.platform.discovery.tell(server.row())
-        door.until(lambda: cold_for_us(door, server))
-        placed = door.core.router.machines[server.name].started_us
+        harness.platform.discovery.tell(server.row())
+        harness.until(lambda: cold_for_us(harness, server))
+        placed = harness.core.router.machines[server.name].started_us
         step(seconds)
         other.status = "DRAINING"
-        door.platform.discovery.tell(server.row(), other.row())
-        door.until(lambda: door.core.router.machines[other.name].mode == "draining")
-        assert door.core.router.machines[server.name].started_us == placed
+        harness.platform.discovery.tell(server.row(), other.row())
+        harness.until(lambda: harness.core.router.machines[other.name].mode == "draining")
+        assert harness.core.router.machines[server.name].started_us == placed
 
 
 def test_servers_that_started_a_ramp_before_the_newest_are_warm_whatever_the_clock_shows(tmp_path, step, monkeypatch):
@@ -95,10 +95,10 @@
 
     monkeypatch.setattr(platform.ModelServer, "__init__", old)
     step(HOUR_S)
-    with Door(tmp_path, ("both", "both", "both")) as door:
-        one, two, three = door.platform.servers.values()
-        assert not cold_for_us(door, one) and 0 <= cold_for_us(door, two) <= S
-        assert cold_for_us(door, three) > 13 * S
+    with PlatformHarness(tmp_path, ("both", "both", "both")) as harness:
+        one, two, three = harness.platform.servers.values()
+        assert not cold_for_us(harness, one) and 0 <= cold_for_us(harness, two) <= S
+        assert cold_for_us(harness, three) > 13 * S
 
 
 def test_one_module_alone_reads_the_wall_clock_of_what_a_gateway_of_the_platform_loads():
--- a/tests/test_signals_at_start.py
+++ b/tests/test_signals_at_start.py
@@ -8,7 +8,7 @@
 import tomllib
 from pathlib import Path
 
-from platform_door import Door
+from platform_harness import PlatformHarness
 
 from lapiswing.loop import free_ports
 from lapiswing.node import __main__ as program
@@ -17,11 +17,11 @@
 S = 1_000_000
 
 
-def started(door, folder, **changes):
+def started(harness, folder, **changes):
     """The command of the deploy file, as the platform starts it. -> the process, its log's path, its port."""
     (port,) = free_ports(1)
     path = folder / "own.json"
-    path.write_text(json.dumps({**door.config, "listen": f"127.0.0.1:{port}", **changes}))
+    path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}", **changes}))
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     log = folder / "log"
     with open(log, "w") as out:
@@ -42,33 +42,33 @@
 
 
 def test_a_new_configuration_while_the_program_still_loads_does_not_end_it(tmp_path):
-    with Door(tmp_path, ("both", "both")) as door:
-        process, log, port = started(door, tmp_path)
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        process, log, port = started(harness, tmp_path)
         try:
-            door.until(lambda: is_python(process))
+            harness.until(lambda: is_python(process))
 
             def listens():
                 process.send_signal(signal.SIGHUP)
                 return process.poll() is not None or "listening" in log.read_text()
 
-            door.until(listens, 20 * S)
+            harness.until(listens, 20 * S)
             assert process.poll() is None, f"ended by {process.returncode}"
-            door.port = port
-            assert door.ask("a0").whole().status == 200
+            harness.port = port
+            assert harness.ask("a0").wait_answer().status == 200
             process.send_signal(signal.SIGTERM)
-            door.until(lambda: process.poll() is not None, 10 * S)
+            harness.until(lambda: process.poll() is not None, 10 * S)
             assert process.returncode == 0
         finally:
             process.kill()
 
 
 def test_a_stop_while_the_program_still_loads_ends_it_in_order(tmp_path):
-    with Door(tmp_path, ("both", "both")) as door:
-        process, log, _ = started(door, tmp_path)
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
+        process, log, _ = started(harness, tmp_path)
         try:
-            door.until(lambda: is_python(process) and catches(process, signal.SIGTERM))
+            harness.until(lambda: is_python(process) and catches(process, signal.SIGTERM))
             process.send_signal(signal.SIGTERM)
-            door.until(lambda: process.poll() is not None)
+            harness.until(lambda: process.poll() is not None)
             assert process.returncode == 0
             assert "listening" not in log.read_text()
         finally:
@@ -77,16 +77,16 @@
 
 def test_a_configuration_that_changes_right_after_it_was_read_is_not_missed(tmp_path, monkeypatch):
     """The signal comes in the very moment between reading the file and hearing signals on the loop."""
-    with Door(tmp_path, ("both", "both")) as door:
+    with PlatformHarness(tmp_path, ("both", "both")) as harness:
         (port,) = free_ports(1)
         path = tmp_path / "own.json"
-        path.write_text(json.dumps({**door.config, "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9"}))
+        path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9"}))
         load, nodes = program.Node.__init__, []
 
         def loaded(node, *args, **kwargs):
             load(node, *args, **kwargs)
             nodes.append(node)
-            path.write_text(json.dumps({**door.config, "listen": f"127.0.0.1:{port}"}))
+            path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}"}))
             os.kill(os.getpid(), signal.SIGHUP)
 
         def run(node):
@@ -101,7 +101,7 @@
         program.EARLY.watch()  # as the program does first of all
         try:
             program.main()
-            assert nodes[0].discovery.address == ("127.0.0.1", int(door.config["discovery"].split(":")[1]))
+            assert nodes[0].discovery.address == ("127.0.0.1", int(harness.config["discovery"].split(":")[1]))
         finally:
             signal.set_wakeup_fd(-1)
             for number, handler in handlers.items():
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -222,7 +222,7 @@
         lab.until(lambda: all(f.over for f in rest))
         assert all(f.memory == data for f in rest) and lab.loop.clock.now_us() - start < 2 * S
         assert not crawl.over
-        assert max(s.stream.waiting for s in lab.senders[0].servers) < 40 * CHUNK  # its memory is bounded
+        assert max(s.stream.unsent_bytes for s in lab.senders[0].servers) < 40 * CHUNK  # its memory is bounded
         crawl.cancel()
         assert lab.b.used == 0
         for a in others:
--- a/tests/test_websocket.py
+++ b/tests/test_websocket.py
@@ -439,7 +439,7 @@
             except OSError:
                 break
             place.loop.turn(0)
-            waiting = max([c.stream.waiting for c in place.gateway.sessions.connections] + [0])
+            waiting = max([c.stream.unsent_bytes for c in place.gateway.sessions.connections] + [0])
             assert waiting < 600_000
         assert sent > 1_000_000
         place.until(lambda: not place.gateway.sessions.connections)  # it took nothing for `stall_ms`
