--- a/tests/test_client_fields.py
+++ b/tests/test_client_fields.py
@@ -25,7 +25,7 @@
             server.fault = record
         harness.platform.add("read").fault = record
         harness.platform.discovery.tell(*(s.row() for s in harness.platform.servers.values()))
-        harness.until(lambda: len(harness.core.router.table.rows.at) == 2)
+        harness.until(lambda: len(harness.core.router.table.rows.index_of) == 2)
         client = harness.ask("r1", **({} if key is None else {"Idempotency_Key": key}))
         assert not client.wait_answer().truncated
         assert client.status == 200 and len(seen) == 3
@@ -36,10 +36,10 @@
 def test_the_owner_is_the_tenant_and_an_unknown_one_uses_nobodys_share(tmp_path, monkeypatch, owner, tenant):
     monkeypatch.setitem(SETTINGS, "Tenants", TENANTS)
     with PlatformHarness(tmp_path) as harness:
-        before = [harness.core.router.left_of(i) for i in range(2)]
+        before = [harness.core.router.remaining_quota(i) for i in range(2)]
         client = harness.ask("r1", Req_Owner=owner)
         harness.until(lambda: client.status)
-        used = [a - b for a, b in zip(before, [harness.core.router.left_of(i) for i in range(2)])]
+        used = [a - b for a, b in zip(before, [harness.core.router.remaining_quota(i) for i in range(2)])]
         assert used == [float(i == tenant) for i in range(2)]
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -230,7 +230,7 @@
         began = harness.loop.clock.now_us()
         server.status = "DRAINING"
         discovery.tell(server.row())
-        harness.until(lambda: harness.core.router.machines["s-1"].mode == "draining", 6 * S)
+        harness.until(lambda: harness.core.router.servers["s-1"].mode == "draining", 6 * S)
         assert harness.loop.clock.now_us() - began < LIMIT_US
         assert all(harness.ask(f"a{i}").wait_answer().status == 200 for i in range(3))
         assert {row[0] for row in harness.platform.seen(b"POST")} == {"s-2"}
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -6,7 +6,7 @@
 from platform_harness import PlatformHarness, RecordingLog
 
 from lapiswing.gateway.guards import Check, Guards, History
-from lapiswing.interface import EndpointGroup, Server
+from lapiswing.interface import RequestClass, Server
 
 
 class Call:
@@ -14,7 +14,7 @@
 
 
 def guards(effect="replayable", scope="all", second_copies=True):
-    group = EndpointGroup("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
+    group = RequestClass("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
     return Guards([group], 1000 * MS, second_copies, RecordingLog())
 
 
@@ -90,11 +90,11 @@
         old, other = harness.platform.servers.values()
         old.status = other.status = "DRAINING"
         harness.platform.discovery.tell(old.row(), other.row())
-        harness.until(lambda: all(m.mode == "draining" for m in harness.core.router.machines.values()))
+        harness.until(lambda: all(m.mode == "draining" for m in harness.core.router.servers.values()))
         harness.core.guards.off_us = {name: at - 2000 * MS for name, at in harness.core.guards.off_us.items()}
-        for machine in harness.core.router.machines.values():
+        for machine in harness.core.router.servers.values():
             machine.mode = "ready"  # the fault: it has forgotten what it was told
-        harness.core.router.use(list(harness.core.router.machines.values()))
+        harness.core.router.set_ready_servers(list(harness.core.router.servers.values()))
         harness.core.router.table.arrange(harness.core.router.readers, harness.core.router.writers)
         harness.core.router.refresh()
         assert harness.ask("a1").wait_answer().status == 503
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -177,7 +177,7 @@
             return req
 
         harness.core.take = take
-        harness.until(lambda: len(harness.core.router.machines) == 1024)
+        harness.until(lambda: len(harness.core.router.servers) == 1024)
         harness.loop.run_until(lambda: False, 220 * MS)
         assert not attempts(harness) and near
         harness.wait_settled()
