--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -6,12 +6,12 @@
 import sys
 from multiprocessing import Pool
 
-from lapiswing.lab.coldfleet import Fleet, case_of
+from lapiswing.lab.coldfleet import Fleet, random_case
 
 
 def play(seed):
-    fleet = Fleet(seed, case_of(seed)).play()
-    return seed, fleet.worst(), fleet.done / fleet.taken, fleet.part_of_cold(), fleet.case
+    fleet = Fleet(seed, random_case(seed)).play()
+    return seed, fleet.worst_window(), fleet.served_count / fleet.original_requests, fleet.cold_utilization(), fleet.case
 
 
 def main(seeds):
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -16,7 +16,7 @@
 
 from benchmarks.scale.settings import MS, S, router_settings, server_rows
 from benchmarks.scale.target import TARGET
-from lapiswing.lab.coldfleet import heaviest
+from lapiswing.lab.coldfleet import heaviest_window
 from lapiswing.policy import Router
 from lapiswing.routing.chance import mixed
 
@@ -402,7 +402,7 @@
         mean_work_us = self.cost_us * MEAN_TOKENS
         return max(
             (
-                heaviest(
+                heaviest_window(
                     server.cold_sent, lambda at, server=server: FALL_MULTIPLE * server.level(at - S // 2) * S / mean_work_us
                 )[0]
                 for server in self.servers.values()
--- a/lapiswing/cli/main.py
+++ b/lapiswing/cli/main.py
@@ -162,13 +162,13 @@
     from concurrent.futures import ProcessPoolExecutor
 
     from lapiswing.lab.play import play_one
-    from lapiswing.lab.run import good, text_of
+    from lapiswing.lab.run import format_result, passed
 
     bad = 0
     with ProcessPoolExecutor(max(1, jobs)) as pool:
         for result in pool.map(play_one, [(make, n, router, keep) for make, n in days]):
-            click.echo(json.dumps(result) if as_json else result if isinstance(result, str) else text_of(result))
-            bad += isinstance(result, str) or not good(result)
+            click.echo(json.dumps(result) if as_json else result if isinstance(result, str) else format_result(result))
+            bad += isinstance(result, str) or not passed(result)
     if not as_json:
         click.echo(f"{len(days)} days, {bad} bad")
     sys.exit(1 if bad else 0)
--- a/lapiswing/lab/coldfleet.py
+++ b/lapiswing/lab/coldfleet.py
@@ -34,7 +34,7 @@
     return n + times * sqrt(n) + times
 
 
-def heaviest(sent, allowed):
+def heaviest_window(sent, allowed):
     """-> (part of the bound, work, N) of the window in which a cold server was sent the most against its bound. `sent`:
     (when, work) in order; `allowed(us)`: N of the window that ends then."""
     first, work, most = 0, 0.0, (0.0, 0.0, 0.0)
@@ -106,7 +106,7 @@
         self.busy = dict.fromkeys(self.servers, 0.0)
         self.out, self.where, self.reqs = {}, {}, {}
         self.ended = set()  # reqs that were served
-        self.arrivals, self.taken = [], 0  # arrivals: (us, server, work, told)
+        self.arrivals, self.original_requests = [], 0  # arrivals: (us, server, work, told)
         g = case["gateways"]
         self.late = set(range(g - round(case["late"] * g), g))
         self.fresh = set(range(round(case["fresh"] * g)))
@@ -180,7 +180,7 @@
         content = again or Content(float(self.chance.lognormal(-0.32, 0.8)), f"s{rid}", self.prefix())
         tokens = max(20, int(1000 * content.work))
         self.reqs[gateway, rid] = (content, again is not None)
-        self.taken += again is None
+        self.original_requests += again is None
         self.tell(
             0,
             gateway,
@@ -264,13 +264,13 @@
                 getattr(self, what[0])(*what[1:])
         return self
 
-    def worst(self):
+    def worst_window(self):
         """-> the most that a cold server was sent in a window, as a part of what it bears, and by whom: (part, server,
         work, N)."""
         window, most = RULES["overload_for_us"], (0.0, None, 0.0, 0.0)
         for server in sorted(self.cold):
             sent = [(at, work) for at, s, work, told in self.arrivals if s == server and told and at >= START_US]
-            part, work, n = heaviest(
+            part, work, n = heaviest_window(
                 sent,
                 lambda at, server=server: RULES["fall_multiple"] * self.rate[server] * window / S * self.level(at - window / 2),
             )
@@ -278,7 +278,7 @@
         return most
 
     @property
-    def done(self):
+    def served_count(self):
         return len(self.ended)
 
     def long_against_all(self):
@@ -287,14 +287,14 @@
         long = [key for key, (content, _) in self.reqs.items() if content.work >= works[len(works) * 9 // 10]]
         return sum(key in self.ended for key in long) / len(long) / (len(self.ended) / len(self.reqs))
 
-    def part_of_cold(self):
+    def cold_utilization(self):
         """Work that cold servers were sent, as a part of what the settings allow them."""
         work = sum(w for at, s, w, told in self.arrivals if s in self.cold and START_US <= at < START_US + 8 * S)
         seconds = sum(self.level(START_US + t * S) for t in np.arange(0, 8, 0.1)) / 10
         return work / sum(RULES["fall_multiple"] * self.rate[s] * seconds for s in self.cold)
 
 
-def case_of(seed):
+def random_case(seed):
     """One of many mixtures of trouble."""
     chance = np.random.default_rng([seed, 1])
 
--- a/lapiswing/lab/fleetdays.py
+++ b/lapiswing/lab/fleetdays.py
@@ -19,7 +19,7 @@
 class Day(NamedTuple):
     seed: int
     faults: list  # words; empty where all held
-    told: list  # (ms, what was done)
+    actions: list  # (ms, what was done)
     rows: int
     identities: int
 
@@ -29,14 +29,14 @@
         self.rng = np.random.default_rng([seed, 9])
         self.fleet, self.seed, self.n = Fleet(members, seed), seed, members
         self.fleet.on_row = self.row_came
-        self.faults, self.told, self.count = [], [], 0
+        self.faults, self.actions, self.count = [], [], 0
         self.seen = {}  # (writer, key, version) -> {value: members that took it}
         self.kept = {}  # member -> an earlier disk of it
         # Whose disks fail.
         self.poor = set(self.rng.choice(members, (members - 1) // 3, replace=False).tolist())
 
     def say(self, text):
-        self.told.append((self.fleet.now // S, text))
+        self.actions.append((self.fleet.now // S, text))
 
     def row_came(self, node, row, raw):
         """What a majority has seen, the writer included, is never written over: one version is one value."""
@@ -135,7 +135,7 @@
             fleet.run(int(self.rng.exponential(120)) + 1)
             acts[min(int(np.searchsorted(ends, self.rng.random() * ends[-1])), len(acts) - 1)][1]()
         self.end()
-        return Day(self.seed, self.faults, self.told, len(self.seen), sum(n.link.counts["identities"] for n in fleet.up()))
+        return Day(self.seed, self.faults, self.actions, len(self.seen), sum(n.link.counts["identities"] for n in fleet.up()))
 
     def end(self):
         """All is well again: everybody is back, and then everybody knows everything."""
--- a/lapiswing/lab/fleetsim.py
+++ b/lapiswing/lab/fleetsim.py
@@ -53,7 +53,7 @@
     def address(index):
         return f"10.0.{index // 250}.{index % 250}:9300"
 
-    def at(self, after_us, call, *args):
+    def call_later(self, after_us, call, *args):
         heapq.heappush(self.queue, (self.now + after_us, next(self.order), call, args))
 
     # ---- members
@@ -82,7 +82,7 @@
         )
         self.keep_identity(node)
         link.restore(node.disk["rows"].values())
-        self.at(int(rng.random() * TICK_US), self.tick, node, node.epoch)
+        self.call_later(int(rng.random() * TICK_US), self.tick, node, node.epoch)
         return link
 
     def keep_identity(self, node):
@@ -90,7 +90,7 @@
 
     def start_all(self, within_ms=1000):
         for i in range(len(self.nodes)):
-            self.at(int(self.rng.random() * within_ms * MS), self.start, i)
+            self.call_later(int(self.rng.random() * within_ms * MS), self.start, i)
 
     def kill(self, i):
         self.nodes[i].epoch += 1
@@ -104,12 +104,12 @@
         if node.epoch != epoch:
             return
         if node.stopped_until > self.now:
-            return self.at(node.stopped_until - self.now, self.tick, node, epoch)
+            return self.call_later(node.stopped_until - self.now, self.tick, node, epoch)
         held, node.held = node.held, []
         for data in held:
             node.link.heard(self.now, data)
         node.link.tick(self.now)
-        self.at(TICK_US, self.tick, node, epoch)
+        self.call_later(TICK_US, self.tick, node, epoch)
 
     # ---- messages
 
@@ -120,7 +120,7 @@
         if not 0 <= target < len(self.nodes) or not self.net.reaches(node.index, target):
             return
         for after, copy in self.net.fates(data):
-            self.at(after, self.arrive, target, copy)
+            self.call_later(after, self.arrive, target, copy)
 
     def arrive(self, target, data):
         node = self.nodes[target]
--- a/lapiswing/lab/play.py
+++ b/lapiswing/lab/play.py
@@ -3,7 +3,7 @@
 import shutil
 from pathlib import Path
 
-from lapiswing.lab.run import DayFailed, Run, good
+from lapiswing.lab.run import DayFailed, Run, passed
 
 
 def play_one(args):
@@ -15,6 +15,6 @@
         result = run.play()
     except DayFailed as problem:
         return f"{day.name}, seed {seed}: {problem}"
-    if not keep and good(result):
+    if not keep and passed(result):
         shutil.rmtree(run.folder, ignore_errors=True)
     return result
--- a/lapiswing/lab/run.py
+++ b/lapiswing/lab/run.py
@@ -326,11 +326,11 @@
     )
 
 
-def good(result):
+def passed(result):
     return not (any(r["broken"] for r in result["rules"]) or result["missing"] or result["died"] or result["unended"])
 
 
-def text_of(result):
+def format_result(result):
     """What a person reads."""
     lines = [
         f"{result['day']}, seed {result['seed']}"
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -50,7 +50,7 @@
 
     def run(self, ms, until=None):
         for at in range(0, ms, 5):  # time passes, and `until` is asked, though nothing is on its way
-            self.fleet.at(at * 1000, lambda: None)
+            self.fleet.call_later(at * 1000, lambda: None)
         return self.fleet.run(ms, until)
 
     def close(self):
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 from trace import MS, Play
 
-from lapiswing.lab.coldfleet import START_US, Fleet, case_of
+from lapiswing.lab.coldfleet import START_US, Fleet, random_case
 
 # Each broke the bound before its mend: a hot text; attempts that fail and are drawn anew; long prompts; a rush; clients
 # that come again; fresh routers; all of a role cold; mixed servers. 17, 55, 504, 539, 580 and 698 for one prompt that is
@@ -17,18 +17,18 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_cold_server_is_sent_more_than_it_bears_and_chance(seed):
-    fleet = Fleet(seed, case_of(seed)).play()
-    part, server, work, n = fleet.worst()
+    fleet = Fleet(seed, random_case(seed)).play()
+    part, server, work, n = fleet.worst_window()
     assert part <= 1.0, f"{server} was sent {work:.1f} in a window, N being {n:.1f}; {fleet.case}"
-    assert fleet.part_of_cold() > 0.1 and fleet.done > 0.4 * fleet.taken  # and they are used
+    assert fleet.cold_utilization() > 0.1 and fleet.served_count > 0.4 * fleet.original_requests  # and they are used
 
 
 @pytest.mark.parametrize("seed", LONG_SEEDS)
 def test_one_prompt_does_not_take_all_that_a_cold_server_bears(seed):
-    fleet = Fleet(seed, case_of(seed)).play()
-    part, server, work, n = fleet.worst()
+    fleet = Fleet(seed, random_case(seed)).play()
+    part, server, work, n = fleet.worst_window()
     assert part <= 1.0, f"{server} was sent {work:.1f} in a window, N being {n:.1f}; {fleet.case}"
-    assert fleet.part_of_cold() > 0.05 and fleet.done > 0.4 * fleet.taken
+    assert fleet.cold_utilization() > 0.05 and fleet.served_count > 0.4 * fleet.original_requests
 
 
 CALM = {
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -532,7 +532,7 @@
     """Parts, loss, kills, stops, disks kept, emptied and put back, while rows are written; see
     lab/fleetdays.py."""
     day = fleetdays.play(seed)
-    assert not day.faults, (day.faults, day.told)
+    assert not day.faults, (day.faults, day.actions)
     assert day.rows > 50
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -7,7 +7,7 @@
 
 from lapiswing.lab.audit import Limits, audit, service
 from lapiswing.lab.play import play_one
-from lapiswing.lab.run import good
+from lapiswing.lab.run import passed
 from lapiswing.lab.scripts import cold, drain, overload, quiet, several
 
 MS = 1000
@@ -187,4 +187,4 @@
     for (router, _, rule), result in zip(BROKEN, bad):
         assert not isinstance(result, str), result
         assert rule in [r["rule"][0] for r in result["rules"] if r["broken"]], (router, result["rules"])
-    assert good(kept), kept
+    assert passed(kept), kept
