--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -15,7 +15,7 @@
 import click
 
 from lapiswing.loop import Clock, Loop
-from lapiswing.store import Engine, Files, Inline, Worker
+from lapiswing.store import Engine, Files, InlineWorker, Worker
 from lapiswing.tasks import Tasks
 
 VALUE = os.urandom(120)
@@ -70,7 +70,7 @@
 
 def recovery(folder, n=1_000_000):
     where = os.path.join(folder, "million")
-    engine = Engine(Files(where), Inline(), durable=False).open()
+    engine = Engine(Files(where), InlineWorker(), durable=False).open()
     start = time.perf_counter()
     for at in range(0, n, 500):
         engine.put([(b"k/key-%07d" % i, VALUE[:60], 0) for i in range(at, at + 500)])
@@ -85,7 +85,7 @@
                 if name.endswith(".hint"):
                     os.unlink(os.path.join(where, name))
         start = time.perf_counter()
-        engine = Engine(Files(where), Inline()).open()
+        engine = Engine(Files(where), InlineWorker()).open()
         took = time.perf_counter() - start
         assert len(engine.index.keys) == n
         click.echo(f"recovery  {what}: {took:.2f} s, {engine.counts['hints used']} hints used")
--- a/benchmarks/transfer.py
+++ b/benchmarks/transfer.py
@@ -106,7 +106,7 @@
     process.kill()
     bare_rate = size / best
     tell(part="rate", what="bare sendfile and recv_into", gb_s=round(bare_rate / 1e9, 2))
-    real, folder = machine.Receiver.came, tempfile.mkdtemp()
+    real, folder = machine.Receiver.chunk_received, tempfile.mkdtemp()
     keys_in(folder)
     for what, args in (
         ("with checksums", ()),
@@ -118,9 +118,9 @@
         loop, best = Loop(Clock()), 9e9
         agent = Agent(loop, "r", [b"k"], 8 * GB, tls=tls_of(folder, "r") if "TLS" in what else None)
         if what == "without":
-            machine.Receiver.came = lambda self, i, n: (
-                self.out.pop(i),
-                self.have.__setitem__(i, 1),
+            machine.Receiver.chunk_received = lambda self, i, n: (
+                self.requested.pop(i),
+                self.received.__setitem__(i, 1),
                 setattr(self, "missing", self.missing - 1),
                 "whole" if not self.missing else "good",
             )[-1]
@@ -141,7 +141,7 @@
         )
         agent.close()
         process.kill()
-        machine.Receiver.came = real
+        machine.Receiver.chunk_received = real
     shutil.rmtree(folder)
 
 
@@ -224,7 +224,7 @@
         part="many",
         moves=200,
         bound_mb=bound >> 20,
-        held_mb=agent.used >> 20,
+        held_mb=agent.used_bytes >> 20,
         grown_mb=most >> 20,
         whole=sum(f.why is None for f in out),
         no_room=sum(f.why == "no room" for f in out),
--- a/lapiswing/cli/transfer.py
+++ b/lapiswing/cli/transfer.py
@@ -102,7 +102,7 @@
     settings = read_settings(file, load_agent)
     log = start_logs(settings.log.level, settings.log.format, agent=settings.name)
     try:
-        program = Program(settings, log, base=str(Path(file).parent), reread=read)
+        program = Program(settings, log, base=str(Path(file).parent), reload_settings=read)
         program.watch_signals()  # before it says that it listens: a signal then must find its handler
         program.start()
     except OSError as problem:
@@ -142,7 +142,7 @@
     sys.stdout.flush()
 
     def look():
-        moves = [(t, s.theirs.agent) for s in agent.servers if s.ready for t in s.sender.transfers.values()]
+        moves = [(t, s.peer_hello.agent) for s in agent.servers if s.ready for t in s.sender.transfers.values()]
         for one, to in moves[:1]:
             progress.tell(one.verified * manifest.chunk, manifest.length, f"to {to}")
         return len(taken) >= times
@@ -190,7 +190,7 @@
         if manifest:
             done = manifest.length - min(move.receiver.left(), manifest.length)
             progress.tell(done, manifest.length, f"from {move.link.address[0]}:{move.link.address[1]}" if move.link else "")
-        return move.over
+        return move.is_finished
 
     try:
         loop.run_until(look, round(within_s * 1e6) + 1_000_000)
@@ -230,8 +230,8 @@
                 else ("whole" if row["here"] == row["bytes"] else "file missing or of another length")
             )
         return tell(rows, as_json, ("name", "bytes", "state", "root"))
-    from lapiswing.transfer.frames import MOST_LISTED
     from lapiswing.loop import address_of
+    from lapiswing.transfer.frames import MAX_LISTED_STATES
 
     try:
         where = address_of(what)
@@ -239,13 +239,13 @@
         raise Stop(f"{what!r} is neither a folder nor host:port") from None
     agent = agent_of(name, key_file, folder)
     loop, out, start = agent.loop, [], time.monotonic()
-    agent.join(where, Probe(out))
+    agent.attach_to_holder(where, Probe(out))
     if not loop.run_until(lambda: out, round(within_s * 1e6)):
         raise click.ClickException(f"{what}: no answer within {within_s:g} s")
     if isinstance(out[0], str):
         raise click.ClickException(f"{what}: {out[0]}")
     link, ready = out[0], time.monotonic()
-    theirs = link.theirs
+    theirs = link.peer_hello
     head = {
         "agent": theirs.agent,
         "version": theirs.version,
@@ -267,8 +267,8 @@
         if value is not None:
             click.echo(f"{key.replace('_', ' '):14} {', '.join(value) if isinstance(value, list) else value}")
     tell(rows, False, ("name", "bytes", "root"))
-    if states and states[0].total > MOST_LISTED:
-        click.echo(f"... and {states[0].total - MOST_LISTED} more")
+    if states and states[0].total > MAX_LISTED_STATES:
+        click.echo(f"... and {states[0].total - MAX_LISTED_STATES} more")
 
 
 class Probe:
@@ -279,14 +279,14 @@
     def __init__(self, out):
         self.out, self.receiver = out, self
 
-    def broke(self, _holder, why, final=False):
+    def on_link_failed(self, _holder, why, final=False):
         if not self.out:
             self.out.append(why)
 
-    def ready(self, link):
+    def on_link_ready(self, link):
         self.out.append(link)
 
-    def lost(self):
+    def connection_lost(self):
         pass
 
 
--- a/lapiswing/standin/box.py
+++ b/lapiswing/standin/box.py
@@ -150,7 +150,7 @@
         self.agent = Agent(self.loop, spec.id, [b"stand-ins"], spec.memory * spec.state_bytes * 2, 65536, plain=spec.plain_moves)
         self.agent.on_taken = lambda name: self.drop_state(name, "taken")
         if self.started_us:
-            self.agent.cold_until_us = self.started_us + round(spec.ramp_ms * MS)
+            self.agent.slow_start_until_us = self.started_us + round(spec.ramp_ms * MS)
         self.relay = Relay(self.loop, self.agent.listen(self.host, 0))
         self.spoil()
 
@@ -486,7 +486,7 @@
                 now + 300 * MS,
                 now + 1500 * MS,
                 lambda move: self.has_moved(job, move),
-                offers=self.offers(job),
+                alternatives=self.offers(job),
             )
             return
         Fetch(self, job, (p.get("remote_host"), p.get("remote_port")), p.get("remote_request_id"))
--- a/lapiswing/state/memory.py
+++ b/lapiswing/state/memory.py
@@ -33,7 +33,7 @@
         """-> False: it can't be put down, so it is not taken."""
         if not self.wanted(entry) or self.go_on or self.engine.mode in ("good", "full") and not self.engine.why:
             return True
-        if self.engine.mode == "full" and self.engine.wall() >= self.engine.again_ms:
+        if self.engine.mode == "full" and self.engine.wall_clock_ms() >= self.engine.retry_at_ms:
             return True  # this one finds out whether there is room again
         self.counts["not taken"] += 1
         return False
--- a/lapiswing/store/__init__.py
+++ b/lapiswing/store/__init__.py
@@ -10,6 +10,6 @@
 from lapiswing.store.engine import Engine, StoreError
 from lapiswing.store.files import Files
 from lapiswing.store.memory import Memory
-from lapiswing.store.work import Inline, Worker
+from lapiswing.store.work import InlineWorker, Worker
 
-__all__ = ["Engine", "Files", "Inline", "Memory", "StoreError", "Worker"]
+__all__ = ["Engine", "Files", "InlineWorker", "Memory", "StoreError", "Worker"]
--- a/lapiswing/store/engine.py
+++ b/lapiswing/store/engine.py
@@ -82,10 +82,10 @@
         self, files, worker, now_ms=lambda: time.time_ns() // 1_000_000, segment_bytes=SEGMENT_BYTES, log=None, durable=True
     ):
         """`durable` False leaves syncs out: for measurements only."""
-        self.files, self.worker, self.wall, self.segment_bytes = files, worker, now_ms, segment_bytes
+        self.files, self.worker, self.wall_clock_ms, self.segment_bytes = files, worker, now_ms, segment_bytes
         self.log, self.sync = log or (lambda event, **fields: None), durable
         self.index, self.fds, self.sizes = Index(), {}, {}
-        self.mode, self.why, self.floor_ms, self.again_ms = "closed", None, 0, 0
+        self.mode, self.why, self.floor_ms, self.retry_at_ms = "closed", None, 0, 0
         self.seq = self.durable = self.generation = 0
         self.waiting, self.waiting_bytes, self.busy, self.held = [], 0, False, None
         self.segments, self.active, self.compacting, self.rows = [], None, False, {}
@@ -103,7 +103,7 @@
 
     def now_ms(self):
         """Never goes back: what was over stays over when the machine's clock steps back."""
-        self.floor_ms = max(self.floor_ms, self.wall())
+        self.floor_ms = max(self.floor_ms, self.wall_clock_ms())
         return self.floor_ms
 
     # ---- opening
@@ -286,7 +286,7 @@
         """A batch: (key, value or None to delete, expires unix ms or 0). `done(why)`: None once it is on the disk. -> False where it
         is refused at once (`done` is told too)."""
         size = sum(len(k) + len(v or b"") + 16 for k, v, _ in items)
-        if self.mode == "full" and self.wall() >= self.again_ms and not self.busy:
+        if self.mode == "full" and self.wall_clock_ms() >= self.retry_at_ms and not self.busy:
             self.mode = "good"  # the next write finds out
         if self.mode != "good" or self.waiting_bytes + size > MOST_WAITING and self.waiting:
             self.counts["refused"] += 1
@@ -389,7 +389,7 @@
         """Nothing of the group, nor of what waits, is claimed. What the index said before counts again."""
         full = problem.errno in (ENOSPC, EDQUOT)
         self.why = problem.strerror or str(problem)
-        self.mode, self.again_ms = "full" if full else "failed", self.wall() + AGAIN_MS
+        self.mode, self.retry_at_ms = "full" if full else "failed", self.wall_clock_ms() + AGAIN_MS
         self.log("store: " + ("the disk is full" if full else "writing failed"), why=self.why)
         lost, self.waiting, self.waiting_bytes = group + self.waiting, [], 0
         for _, _, _, before, _ in reversed(lost):
--- a/lapiswing/store/memory.py
+++ b/lapiswing/store/memory.py
@@ -10,12 +10,12 @@
 
 class Memory:
     def __init__(self, now_ms=lambda: time.time_ns() // 1_000_000, most_bytes=256 << 20):
-        self.wall, self.most_bytes = now_ms, most_bytes
+        self.wall_clock_ms, self.most_bytes = now_ms, most_bytes
         self.rows, self.bytes, self.mode, self.why, self.floor_ms = SortedDict(), 0, "closed", None, 0
         self.counts = {"puts": 0, "refused": 0}
 
     def now_ms(self):
-        self.floor_ms = max(self.floor_ms, self.wall())
+        self.floor_ms = max(self.floor_ms, self.wall_clock_ms())
         return self.floor_ms
 
     def open(self):
--- a/lapiswing/store/tools.py
+++ b/lapiswing/store/tools.py
@@ -7,7 +7,7 @@
 from lapiswing.store.engine import Engine, StoreError, hint_name, segment_name, take_lock
 from lapiswing.store.files import Files
 from lapiswing.store.format import HEAD, HINT, MANIFEST, Damaged, Hint, Manifest, frames, outer, read_outer, read_segment_head
-from lapiswing.store.work import Inline
+from lapiswing.store.work import InlineWorker
 
 
 class Finding(NamedTuple):
@@ -81,7 +81,7 @@
 
 def dump(folder):
     """Yields (key, value, expires unix ms) in order. Raises StoreError."""
-    engine = Engine(Files(folder), Inline()).open()
+    engine = Engine(Files(folder), InlineWorker()).open()
     try:
         for key, entry in engine.index.range(b"", None, engine.now_ms()):
             yield key, engine.value_of(key, entry), entry[3]
@@ -91,7 +91,7 @@
 
 def compact(folder):
     """Rewrites until hardly anything is garbage. -> (bytes before, bytes after). Raises StoreError."""
-    engine = Engine(Files(folder), Inline()).open()
+    engine = Engine(Files(folder), InlineWorker()).open()
     try:
         before = sum(engine.sizes.values())
         for _ in engine.expire():
--- a/lapiswing/store/work.py
+++ b/lapiswing/store/work.py
@@ -9,7 +9,7 @@
 import threading
 
 
-class Inline:
+class InlineWorker:
     def submit(self, job, done):
         try:
             result, problem = job(), None
--- a/lapiswing/transfer/agent.py
+++ b/lapiswing/transfer/agent.py
@@ -45,8 +45,8 @@
         self.loop, self.name, self.keys, self.memory_bytes, self.chunk = loop, name, list(keys), memory_bytes, chunk
         self.states, self.servers, self.links, self.waiting, self.fetches = {}, set(), {}, {}, set()
         self.spare = []  # buffers that were given back
-        self.windows, self.used, self.listener, self.on_taken = {}, 0, None, None
-        self.paths, self.held_back, self.cold_until_us = decide.Paths(), [], 0
+        self.windows, self.used_bytes, self.listener, self.on_taken = {}, 0, None, None
+        self.paths, self.held_back, self.slow_start_until_us = decide.Paths(), [], 0
         self.log = log or (lambda event, **fields: None)
         self.counts = dict.fromkeys(COUNTS, 0)
         self.dialling = {}
@@ -102,7 +102,7 @@
         """Serves what was fetched into a file: it is verified, and is not summed again. Raises OSError."""
         state = FileState(fetch.name, Descriptor(fetch.path), fetch.receiver.manifest)
         fetch.free()
-        self.used += state.manifest.length
+        self.used_bytes += state.manifest.length
         state.counted = True
         return self.add(state)
 
@@ -111,7 +111,7 @@
         state = self.states.pop(name, None)
         if state is not None:
             if state.counted:
-                self.used -= state.manifest.length
+                self.used_bytes -= state.manifest.length
             for server in list(self.servers):
                 server.dropped(state)
             state.close()
@@ -119,10 +119,10 @@
 
     # ---- fetching
 
-    def fetch(self, name, holders, due_us, expires_us, done, priority=5, offers=None, folder=None, keep=False):
-        """`offers`: see decide.other_ways. `folder`: it lands in a file there; with `keep`, what was verified stays there
+    def fetch(self, name, holders, due_us, expires_us, done, priority=5, alternatives=None, folder=None, keep=False):
+        """`alternatives`: see decide.other_ways. `folder`: it lands in a file there; with `keep`, what was verified stays there
         when the fetch fails, or when this agent ends."""
-        fetch = Fetch(self, name, holders, due_us, expires_us, done, priority, offers, folder, keep)
+        fetch = Fetch(self, name, holders, due_us, expires_us, done, priority, alternatives, folder, keep)
         self.fetches.add(fetch)
         self.held_back.append(fetch)
         self.admit()
@@ -130,7 +130,7 @@
 
     def admit(self):
         """Starts what waits; not all of it while this box has just started."""
-        cold = self.loop.clock.now_us() < self.cold_until_us and not self.plain
+        cold = self.loop.clock.now_us() < self.slow_start_until_us and not self.plain
         running = len(self.fetches) - len(self.held_back)
         if cold:
             self.held_back.sort(key=lambda f: f.due_us)
@@ -144,11 +144,11 @@
         if self.held_back:
             self.loop.soon(self.admit)
 
-    def join(self, holder, fetch):
+    def attach_to_holder(self, holder, fetch):
         """The fetch goes on over the link to a holder, which is opened where there is none."""
         link = self.links.get(holder)
         if link is not None and not link.stream.closed and link.ready:
-            return fetch.ready(link)
+            return fetch.on_link_ready(link)
         self.waiting.setdefault(holder, []).append(fetch)
         if link is None and holder not in self.dialling:
             self.dialling[holder] = connect(
@@ -166,7 +166,7 @@
             self.links[holder] = Link(self, holder, stream)
             return
         for fetch in self.waiting.pop(holder, []):
-            fetch.broke(holder, why)
+            fetch.on_link_failed(holder, why)
 
     def sweep(self):
         self.timer = self.loop.call_later(SWEEP_US, self.sweep)
--- a/lapiswing/transfer/decide.py
+++ b/lapiswing/transfer/decide.py
@@ -156,12 +156,12 @@
         return "holder" if usual < GOOD else "own" if usual >= BAD else None
 
 
-def other_ways(offers, length, whose):
-    """What the box's own caller could do instead, as Ways. `offers`: {'read anew': us, 'elsewhere': us}, the time until the
+def other_ways(alternatives, length, whose):
+    """What the box's own caller could do instead, as Ways. `alternatives`: {'read anew': us, 'elsewhere': us}, the time until the
     state would begin to move; then all of it moves, on a path of which nothing is known but that it may be the same one again:
     it counts as having failed once. With trouble of our own another writer helps, with the holder's only another read."""
     return [
         Way(what, length or 0, None, us, 1)
-        for what, us in offers.items()
+        for what, us in alternatives.items()
         if not (whose == "own" and what == "read anew" or whose == "holder" and what == "elsewhere")
     ]
--- a/lapiswing/transfer/fetch.py
+++ b/lapiswing/transfer/fetch.py
@@ -17,13 +17,13 @@
     """`done(fetch)` comes once. `why` is None and `memory` whole and verified (with a folder: `path` too), or `why` says what
     went wrong, `advice` what its caller had better do ('read anew' or 'elsewhere'), and nothing is held any more."""
 
-    def __init__(self, agent, name, holders, due_us, expires_us, done, priority=5, offers=None, folder=None, keep=False):
+    def __init__(self, agent, name, holders, due_us, expires_us, done, priority=5, alternatives=None, folder=None, keep=False):
         self.agent, self.name, self.holders, self.done = agent, name, list(holders), done
-        self.due_us, self.expires_us, self.priority, self.offers = due_us, expires_us, priority, offers or {}
+        self.due_us, self.expires_us, self.priority, self.alternatives = due_us, expires_us, priority, alternatives or {}
         self.folder, self.keep, self.part, self.path = folder, keep, None, None
         self.receiver = Receiver(name, self.allocate)
         self.link = self.why = self.memory = self.advice = self.buffer = self.why_not = self.checking = None
-        self.transfer, self.opened, self.over, self.reserved = 0, False, False, 0
+        self.transfer, self.opened, self.is_finished, self.reserved = 0, False, False, 0
         self.fails, self.corrupt, self.out = {}, {}, set()  # out: holders that have it no more
         self.breaks = self.leaves = self.gained = 0
         self.start_us = self.joined_us = agent.loop.clock.now_us()
@@ -39,7 +39,7 @@
         agent, length = self.agent, manifest.length
         self.give_back()
         if self.folder is not None:
-            if agent.used + length > agent.memory_bytes:
+            if agent.used_bytes + length > agent.memory_bytes:
                 return None
             try:
                 return self.land(Part(self.base(), manifest))
@@ -51,13 +51,13 @@
         if buffer is not None:
             agent.spare.remove(buffer)
         else:
-            while agent.spare and agent.used + agent.kept() + length > agent.memory_bytes:
+            while agent.spare and agent.used_bytes + agent.kept() + length > agent.memory_bytes:
                 agent.spare.pop(0)
-            if agent.used + length > agent.memory_bytes:
+            if agent.used_bytes + length > agent.memory_bytes:
                 return None
             buffer = mmap.mmap(-1, length)  # pages come as chunks do; a bytearray would be cleared now, all at once
         self.buffer, self.reserved = buffer, len(buffer)
-        agent.used += self.reserved
+        agent.used_bytes += self.reserved
         return memoryview(buffer)[:length]
 
     def base(self):
@@ -65,7 +65,7 @@
 
     def land(self, part):
         self.part, self.reserved = part, part.manifest.length
-        self.agent.used += self.reserved
+        self.agent.used_bytes += self.reserved
         return memoryview(part.map)
 
     def place(self, index):
@@ -76,7 +76,7 @@
         return self.receiver.place(index)
 
     def give_back(self):
-        self.agent.used -= self.reserved
+        self.agent.used_bytes -= self.reserved
         self.reserved = 0
         if self.buffer is not None:
             self.agent.spare.append(self.buffer)
@@ -90,10 +90,10 @@
 
     def start(self):
         """Takes up what an earlier agent left, then the way that `choose` gives."""
-        if self.over:
+        if self.is_finished:
             return None
         left = read_note(self.base() + PART + NOTE) if self.folder is not None else None
-        if left is None or left.name != self.name or self.agent.used + left.length > self.agent.memory_bytes:
+        if left is None or left.name != self.name or self.agent.used_bytes + left.length > self.agent.memory_bytes:
             return self.go_on()
         try:
             memory = self.land(Part(self.base(), left))
@@ -140,7 +140,7 @@
         if self.breaks or but is not None:  # a holder is tried first: what is left is not known before
             worst = max(self.fails, key=self.fails.get, default=None) if but is None else but
             length = self.receiver.manifest.length if self.receiver.manifest else 0
-            ways += decide.other_ways(self.offers, length, "holder" if self.gone() else agent.paths.whose(worst))
+            ways += decide.other_ways(self.alternatives, length, "holder" if self.gone() else agent.paths.whose(worst))
         return ways
 
     def gone(self):
@@ -151,10 +151,10 @@
         return decide.next_step(self.ways(), self.agent.loop.clock.now_us(), self.expires_us)
 
     def go(self, holder):
-        if not self.over:
-            self.agent.join(holder, self)
+        if not self.is_finished:
+            self.agent.attach_to_holder(holder, self)
 
-    def ready(self, link):
+    def on_link_ready(self, link):
         link.add(self)
 
     def look(self, now):
@@ -187,8 +187,8 @@
         self.link.drop(self)
         self.go(way.holder)
 
-    def broke(self, holder, why, final=False):
-        if self.over:
+    def on_link_failed(self, holder, why, final=False):
+        if self.is_finished:
             return
         self.breaks += 1
         self.why_not = why
@@ -219,9 +219,9 @@
         self.end("cancelled")
 
     def end(self, why, advice=None):
-        if self.over:
+        if self.is_finished:
             return
-        self.over, self.why = True, why
+        self.is_finished, self.why = True, why
         self.timer.cancel()
         for timer in (self.pause, self.checking):
             if timer:
--- a/lapiswing/transfer/frames.py
+++ b/lapiswing/transfer/frames.py
@@ -180,13 +180,13 @@
 
 
 class States(msgspec.Struct, array_like=True):
-    """The answer to LIST, feature `list`: (name, length, root) of each state served, at most MOST_LISTED; `total`: all."""
+    """The answer to LIST, feature `list`: (name, length, root) of each state served, at most MAX_LISTED_STATES; `total`: all."""
 
     total: int
     states: list[tuple[str, int, bytes]]
 
 
-MOST_LISTED = 10000
+MAX_LISTED_STATES = 10000
 FORMS = {
     HELLO: Hello,
     AUTH: Auth,
--- a/lapiswing/transfer/machine.py
+++ b/lapiswing/transfer/machine.py
@@ -18,8 +18,8 @@
     def __init__(self, name, allocate):
         self.name, self.allocate = name, allocate
         self.manifest = self.memory = None
-        self.have, self.missing = bytearray(), 0
-        self.out = {}  # chunk asked for on the present connection -> when
+        self.received, self.missing = bytearray(), 0
+        self.requested = {}  # chunk asked for on the present connection -> when
         self.next, self.again = 0, deque()  # chunks from `next` on were never asked for; `again`: to be asked again
         self.corrupt = self.starts = 0
 
@@ -27,7 +27,7 @@
         """-> 'new', 'same' (goes on with what it has), 'other' (starts over) or 'no room'. Raises BadFrame."""
         manifest.check()
         if self.manifest is not None and manifest.root == self.manifest.root:
-            self.lost()
+            self.connection_lost()
             return "same"
         what = "new" if self.manifest is None else "other"
         self.memory = self.manifest = None
@@ -35,20 +35,20 @@
         if memory is None:
             return "no room"
         self.memory, self.manifest = memoryview(memory), manifest
-        self.have, self.missing = bytearray(manifest.count()), manifest.count()
+        self.received, self.missing = bytearray(manifest.count()), manifest.count()
         self.starts += 1
-        self.lost()
+        self.connection_lost()
         return what
 
     def restore(self, manifest, memory, have):
         """Goes on with what an earlier receiver left; `have`: 1 for each chunk whose bytes fit."""
-        self.manifest, self.memory, self.have = manifest, memoryview(memory), bytearray(have)
+        self.manifest, self.memory, self.received = manifest, memoryview(memory), bytearray(have)
         self.missing = have.count(0)
         self.starts += 1
 
-    def lost(self):
+    def connection_lost(self):
         """The connection is gone: what was asked for on it is to be asked for again."""
-        self.out.clear()
+        self.requested.clear()
         self.again.clear()
         self.next = 0
 
@@ -59,7 +59,7 @@
             index = self.choose()
             if index is None:
                 break
-            self.out[index] = now_us
+            self.requested[index] = now_us
             if ranges and ranges[-1][1] == index:
                 ranges[-1] = (ranges[-1][0], index + 1)
             else:
@@ -70,32 +70,32 @@
     def choose(self):
         while self.again:
             index = self.again.popleft()
-            if not self.have[index] and index not in self.out:
+            if not self.received[index] and index not in self.requested:
                 return index
-        while self.next < len(self.have):
+        while self.next < len(self.received):
             index, self.next = self.next, self.next + 1
-            if not self.have[index] and index not in self.out:
+            if not self.received[index] and index not in self.requested:
                 return index
         return None
 
     def place(self, index):
         """Where a chunk's bytes go, or None where it was not asked for (they are then read past)."""
-        if index not in self.out or self.have[index]:
+        if index not in self.requested or self.received[index]:
             return None
         at, size = self.manifest.span(index)
         return self.memory[at : at + size]
 
-    def came(self, index, size):
+    def chunk_received(self, index, size):
         """A chunk's bytes are in their place. -> 'good', 'whole' (the last one), 'corrupt' or 'unasked'."""
-        if self.manifest is None or index not in self.out or self.have[index]:
+        if self.manifest is None or index not in self.requested or self.received[index]:
             return "unasked"
-        del self.out[index]
+        del self.requested[index]
         at, length = self.manifest.span(index)
         if size != length or sum_of(self.memory[at : at + length]) != self.manifest.sum_of(index):
             self.corrupt += 1
             self.again.append(index)
             return "corrupt"
-        self.have[index] = 1
+        self.received[index] = 1
         self.missing -= 1
         return "whole" if not self.missing else "good"
 
--- a/lapiswing/transfer/peers.py
+++ b/lapiswing/transfer/peers.py
@@ -16,7 +16,7 @@
     INDEX,
     LIST,
     MANIFEST,
-    MOST_LISTED,
+    MAX_LISTED_STATES,
     OPEN,
     PROGRESS,
     STATES,
@@ -122,7 +122,7 @@
 
     def __init__(self, agent, stream, role):
         self.agent, self.loop, self.stream, self.role = agent, agent.loop, stream, role
-        self.frames, self.theirs, self.ready = Frames(stream, self), None, False
+        self.frames, self.peer_hello, self.ready = Frames(stream, self), None, False
         self.hello = Hello(VERSION, agent.name, FEATURES, os.urandom(16))
         stream.owner, stream.turns = self, max(24, stream.turns)
         self.timer = self.loop.call_later(HANDSHAKE_US, self.slow)
@@ -149,31 +149,31 @@
 
     def bad(self, problem):
         self.agent.counts["bad frames"] += 1
-        self.agent.log("bad frame", peer=self.theirs and self.theirs.agent, why=str(problem))
+        self.agent.log("bad frame", peer=self.peer_hello and self.peer_hello.agent, why=str(problem))
         self.stream.abort()
 
     def on_frame(self, kind, transfer, value):
         if self.ready:
             return self.take(kind, transfer, value)
-        if kind == HELLO and self.theirs is None:
+        if kind == HELLO and self.peer_hello is None:
             if value.version != VERSION or len(value.nonce) != 16:
                 raise BadFrame(f"version {value.version}")
-            self.theirs = value
+            self.peer_hello = value
             keys = self.agent.keys
             return self.send(AUTH, 0, Auth(mac(keys[0], self.role, self.hello, value) if keys else b""))
         other = "server" if self.role == "client" else "client"
         if (
             kind != AUTH
-            or self.theirs is None
+            or self.peer_hello is None
             or self.agent.keys
-            and not mac_fits(self.agent.keys, value.mac, other, self.theirs, self.hello)
+            and not mac_fits(self.agent.keys, value.mac, other, self.peer_hello, self.hello)
         ):
             self.agent.counts["not authenticated"] += 1
             raise BadFrame("not authenticated")
-        if self.agent.tls is not None and self.theirs.agent not in self.stream.peer_names():
+        if self.agent.tls is not None and self.peer_hello.agent not in self.stream.peer_names():
             # One agent's certificate must not speak for another.
             self.agent.counts["not authenticated"] += 1
-            raise BadFrame(f"says it is {self.theirs.agent!r}, its certificate is for {self.stream.peer_names()}")
+            raise BadFrame(f"says it is {self.peer_hello.agent!r}, its certificate is for {self.stream.peer_names()}")
         self.ready = True
         self.timer.cancel()
         self.begin()
@@ -214,7 +214,7 @@
             return self.send(MANIFEST, transfer, state.manifest)
         if kind == LIST:
             listed = [(s.name, s.manifest.length, s.manifest.root) for s in self.agent.states.values()]
-            return self.send(STATES, transfer, States(len(listed), listed[:MOST_LISTED]))
+            return self.send(STATES, transfer, States(len(listed), listed[:MAX_LISTED_STATES]))
         one = self.sender.transfers.get(transfer)
         if kind == WANT:
             if one is not None and not self.sender.want(transfer, value.ranges, value.credit, one.state.manifest.count()):
@@ -278,7 +278,7 @@
 
     def begin(self):
         for fetch in self.agent.waiting.pop(self.address, []):
-            fetch.ready(self)
+            fetch.on_link_ready(self)
 
     def add(self, fetch):
         self.count += 1
@@ -324,11 +324,13 @@
             self.fetches.pop(transfer, None)
             fetch.link = None
             self.loop.soon(self.pump)
-            return fetch.broke(self.address, f"{value.code}: {value.text[:200]}", final=value.code in ("unknown", "gone"))
+            return fetch.on_link_failed(
+                self.address, f"{value.code}: {value.text[:200]}", final=value.code in ("unknown", "gone")
+            )
         raise BadFrame("not for a receiver")
 
     def in_flight(self):
-        return sum(len(f.receiver.out) for f in self.fetches.values())
+        return sum(len(f.receiver.requested) for f in self.fetches.values())
 
     def pump(self):
         """Asks for as many chunks as the window allows, in the order that the decisions give."""
@@ -357,14 +359,14 @@
         if fetch is None:
             return
         receiver, now = fetch.receiver, self.loop.clock.now_us()
-        asked, flight = receiver.out.get(index, now), self.in_flight()
-        what = receiver.came(index, size)
+        asked, flight = receiver.requested.get(index, now), self.in_flight()
+        what = receiver.chunk_received(index, size)
         if what == "corrupt":
             self.agent.counts["corrupt chunks"] += 1
             fetch.corrupt[self.address] = fetch.corrupt.get(self.address, 0) + 1
             if fetch.corrupt[self.address] >= decide.BREAKS:  # a path that damages what it carries
                 self.drop(fetch)
-                return fetch.broke(self.address, "corrupt chunks")
+                return fetch.on_link_failed(self.address, "corrupt chunks")
         elif what in ("good", "whole"):
             self.moved_us = now
             self.agent.counts["chunks received"] += 1
@@ -374,9 +376,12 @@
             self.window.chunk(now - asked, size, flight)
             if what == "whole":
                 self.whole(fetch)
-            elif fetch.told_at - receiver.missing >= max(1, len(receiver.have) // TOLD) and "progress" in self.theirs.features:
+            elif (
+                fetch.told_at - receiver.missing >= max(1, len(receiver.received) // TOLD)
+                and "progress" in self.peer_hello.features
+            ):
                 fetch.told_at = receiver.missing
-                self.send(PROGRESS, transfer, Progress(len(receiver.have) - receiver.missing))
+                self.send(PROGRESS, transfer, Progress(len(receiver.received) - receiver.missing))
         self.pump()
 
     def whole(self, fetch):
@@ -400,7 +405,7 @@
         if self.fetches.pop(fetch.transfer, None) is not None:
             self.frames.divert(fetch.transfer)
             self.send(CANCEL, fetch.transfer, Nothing())
-            fetch.receiver.lost()
+            fetch.receiver.connection_lost()
             fetch.link = None
             self.loop.soon(self.pump)  # the window is free for the others
 
@@ -420,11 +425,11 @@
         fetches += self.agent.waiting.pop(self.address, []) if not self.ready else []
         for fetch in fetches:
             fetch.link = None
-            fetch.receiver.lost()
-            fetch.broke(self.address, f"connection {why}")
+            fetch.receiver.connection_lost()
+            fetch.on_link_failed(self.address, f"connection {why}")
         unheard, self.unheard = self.unheard, {}
         for owed in unheard.values():
-            owed.broke(self.address, why)
+            owed.on_link_failed(self.address, why)
 
 
 class Owed:
@@ -437,10 +442,10 @@
         self.agent, self.holder, self.name, self.pauses = agent, holder, name, iter(DONE_PAUSES_US)
         self.receiver = self
 
-    def ready(self, link):
+    def on_link_ready(self, link):
         link.say_done(self)
 
-    def broke(self, _holder, _why, final=False):
+    def on_link_failed(self, _holder, _why, final=False):
         pause = next(self.pauses, None)
         if pause is None:
             self.agent.counts["words lost"] += 1
@@ -449,7 +454,7 @@
 
     def again(self):
         if not self.agent.closed:
-            self.agent.join(self.holder, self)
+            self.agent.attach_to_holder(self.holder, self)
 
-    def lost(self):
+    def connection_lost(self):
         pass
--- a/lapiswing/transfer/serve.py
+++ b/lapiswing/transfer/serve.py
@@ -24,10 +24,10 @@
 class Program:
     """`start()` raises OSError and CertificateError."""
 
-    def __init__(self, settings, log, loop=None, base=".", reread=None):
-        """`reread()` -> settings again, for SIGHUP."""
+    def __init__(self, settings, log, loop=None, base=".", reload_settings=None):
+        """`reload_settings()` -> settings again, for SIGHUP."""
         s = self.settings = settings
-        self.log, self.base, self.reread = log, base, reread
+        self.log, self.base, self.reload_settings = log, base, reload_settings
         self.loop = loop or Loop(
             Clock(), on_error=lambda problem: log.error("fault", why=f"{type(problem).__name__}: {problem}", exc_info=problem)
         )
@@ -43,7 +43,7 @@
             tls=self.tls,
         )
         self.agent.on_taken = self.taken
-        self.agent.cold_until_us = self.loop.clock.now_us() + s.cold_ms * MS
+        self.agent.slow_start_until_us = self.loop.clock.now_us() + s.cold_ms * MS
         self.started_us = self.loop.clock.now_us()
         self.waiting, self.takes, self.keepers = {}, {}, {}  # name -> Wait; takes left; timers
         self.server = Server(self.loop, self.app, Limits(body_bytes=1 << 20, idle_us=600_000_000))
@@ -97,13 +97,13 @@
             size = os.stat(path).st_size
         except OSError as problem:
             return self.loop.soon(done, None, problem.strerror)
-        if self.agent.used + size > self.agent.memory_bytes:
+        if self.agent.used_bytes + size > self.agent.memory_bytes:
             return self.loop.soon(done, None, "no room")
-        self.agent.used += size  # counted from now on, so that two at once can't pass the bound
+        self.agent.used_bytes += size  # counted from now on, so that two at once can't pass the bound
 
         def summed(state, why):
             if state is None:
-                self.agent.used -= size
+                self.agent.used_bytes -= size
             else:
                 state.counted = True
                 if note is None:
@@ -236,8 +236,8 @@
         return {
             "agent": self.settings.name,
             "memory_bytes": agent.memory_bytes,
-            "used_bytes": agent.used,
-            "cold": now < agent.cold_until_us,
+            "used_bytes": agent.used_bytes,
+            "cold": now < agent.slow_start_until_us,
             "draining": self.draining,
             "certificate_days": self.tls.days if self.tls else None,
             "states": [row_of(s) for s in agent.states.values()],
@@ -256,7 +256,7 @@
             "sends": [
                 {
                     "name": t.state.name,
-                    "to": server.theirs.agent,
+                    "to": server.peer_hello.agent,
                     "chunks": t.state.manifest.count(),
                     "sent": t.sent,
                     "verified": t.verified,
@@ -285,7 +285,7 @@
             "lapiswing_transfer_memory_bytes",
             "gauge",
             "Bytes of states, and the bound",
-            [({"what": "used"}, agent.used), ({"what": "bound"}, agent.memory_bytes)],
+            [({"what": "used"}, agent.used_bytes), ({"what": "bound"}, agent.memory_bytes)],
         )
         yield (
             "lapiswing_transfer_now",
@@ -329,9 +329,9 @@
 
     def on_hangup(self):
         """Keys and certificates again; addresses, folder and bounds count at a start only."""
-        if self.reread:
+        if self.reload_settings:
             try:
-                settings = self.reread()
+                settings = self.reload_settings()
                 self.agent.keys = [k.encode() for k in settings.key]
                 self.agent.memory_bytes = settings.memory_bytes
                 self.log.info("settings read", keys=len(settings.key))
@@ -378,7 +378,7 @@
 
     def start(self, ask):
         now = self.program.loop.clock.now_us()
-        offers = {
+        alternatives = {
             what: round(ask[key] * MS)
             for what, key in (("read anew", "read_anew_ms"), ("elsewhere", "elsewhere_ms"))
             if ask.get(key) is not None
@@ -390,7 +390,7 @@
             now + round(ask["expires_ms"] * MS),
             self.done,
             ask["priority"],
-            offers,
+            alternatives,
             self.program.folder,
             ask["keep"],
         )
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -8,7 +8,7 @@
 
 from simfiles import SimFiles
 
-from lapiswing.store import Engine, Files, Inline, Memory
+from lapiswing.store import Engine, Files, InlineWorker, Memory
 
 
 class Clock:
@@ -31,7 +31,7 @@
         self.folder = folder
 
     def open(self):
-        return Engine(Files(self.folder), Inline(), self.now, segment_bytes=900).open()
+        return Engine(Files(self.folder), InlineWorker(), self.now, segment_bytes=900).open()
 
 
 class OnFailing(Place):
@@ -42,7 +42,7 @@
         self.files, self.rng = SimFiles(), random.Random(3)
 
     def open(self):
-        return Engine(self.files, Inline(), self.now, segment_bytes=900).open()
+        return Engine(self.files, InlineWorker(), self.now, segment_bytes=900).open()
 
     def cut(self):
         self.files = self.files.crash(self.rng)
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -11,7 +11,7 @@
 from lapiswing.fleet.host import OTHERS, OWN, Host
 from lapiswing.loop import Clock, Loop, free_ports
 from lapiswing.settings import SettingsError, load_text
-from lapiswing.store import Engine, Files, Inline
+from lapiswing.store import Engine, Files, InlineWorker
 
 S = 1_000_000
 HEALED_US = 10 * S  # rows that a copy has missed are with it within this time (docs/fleet.md)
@@ -31,7 +31,7 @@
             self.start(name)
 
     def start(self, name, files=None):
-        store = self.stores[name] = Engine(files or Files(self.folder / name), Inline()).open()
+        store = self.stores[name] = Engine(files or Files(self.folder / name), InlineWorker()).open()
         settings = types.SimpleNamespace(
             listen=types.SimpleNamespace(host="127.0.0.1", port=self.ports[name]),
             address="",
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,7 +9,7 @@
 from simfiles import SimFiles
 
 from lapiswing.loop import Clock, Loop
-from lapiswing.store import Engine, Files, Inline, StoreError, Worker
+from lapiswing.store import Engine, Files, InlineWorker, StoreError, Worker
 from lapiswing.store.format import HEAD, Damaged, frame, outer, read_frame, read_outer, segment_head
 
 
@@ -22,7 +22,7 @@
 
 
 def opened(files, now=None, **more):
-    return Engine(files, Inline(), now or Now(), **more).open()
+    return Engine(files, InlineWorker(), now or Now(), **more).open()
 
 
 def held(engine):
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -53,12 +53,12 @@
         assert self.loop.run_until(done, round(most_s * S)), "did not happen in time"
 
     def end(self, fetch, most_s=10):
-        self.until(lambda: fetch.over, most_s)
+        self.until(lambda: fetch.is_finished, most_s)
         return fetch
 
     def check_nothing_held(self):
         assert not self.b.fetches and not any(link.fetches for link in self.b.links.values())
-        assert self.b.used == sum(f.reserved for f in self.ended if f.why is None)
+        assert self.b.used_bytes == sum(f.reserved for f in self.ended if f.why is None)
         assert not any(line for line in self.b.waiting.values())
 
 
@@ -68,10 +68,10 @@
         taken = []
         lab.senders[0].on_taken = taken.append
         f = lab.end(lab.fetch("s"))
-        assert f.why is None and f.memory == data and lab.b.used == 1_000_001
+        assert f.why is None and f.memory == data and lab.b.used_bytes == 1_000_001
         lab.until(lambda: taken == ["s"])
         f.free()
-        assert lab.b.used == 0
+        assert lab.b.used_bytes == 0
         lab.check_nothing_held()
 
 
@@ -113,7 +113,7 @@
         data = lab.put("s", 20 * CHUNK)
         lab.relays[0].flip_at = {at}
         f = lab.fetch("s")
-        lab.until(lambda: lab.relays[0].flipped or f.over)
+        lab.until(lambda: lab.relays[0].flipped or f.is_finished)
         lab.relays[0].flip_at = set()
         assert lab.end(f).why is None and f.memory == data, f.why
         c = lab.b.counts
@@ -126,7 +126,7 @@
         lab.put("s", 20 * CHUNK)
         lab.relays[0].flip_part = 1.0
         f = lab.end(lab.fetch("s"))
-        assert f.why and lab.b.used == 0 and lab.relays[0].connections <= 10
+        assert f.why and lab.b.used_bytes == 0 and lab.relays[0].connections <= 10
         lab.check_nothing_held()
 
 
@@ -219,12 +219,12 @@
         slow.rate = 20_000
         start = lab.loop.clock.now_us()
         rest = [lab.fetch("s", agent=a, holders=[lab.senders[0].listener.address]) for a in others]
-        lab.until(lambda: all(f.over for f in rest))
+        lab.until(lambda: all(f.is_finished for f in rest))
         assert all(f.memory == data for f in rest) and lab.loop.clock.now_us() - start < 2 * S
-        assert not crawl.over
+        assert not crawl.is_finished
         assert max(s.stream.waiting for s in lab.senders[0].servers) < 40 * CHUNK  # its memory is bounded
         crawl.cancel()
-        assert lab.b.used == 0
+        assert lab.b.used_bytes == 0
         for a in others:
             a.close()
         slow.close()
@@ -237,7 +237,7 @@
         f = lab.fetch("s")
         lab.until(lambda: f.receiver.manifest and f.receiver.missing < 95)
         lab.senders[0].drop("s")
-        assert "gone" in lab.end(f).why and lab.b.used == 0
+        assert "gone" in lab.end(f).why and lab.b.used_bytes == 0
         assert "unknown" in lab.end(lab.fetch("nope")).why
         lab.check_nothing_held()
 
@@ -259,7 +259,7 @@
         datas = [lab.put(f"s{i}", (i + 1) * 1000 * 7, seed=i) for i in range(40)]
         other = Agent(lab.loop, "c", [b"key"], chunk=CHUNK)
         fetches = [lab.fetch(f"s{i}", agent=a) for i in range(40) for a in (lab.b, other)]
-        lab.until(lambda: all(f.over for f in fetches))
+        lab.until(lambda: all(f.is_finished for f in fetches))
         assert all(f.memory == datas[i // 2] for i, f in enumerate(fetches))
         other.close()
 
@@ -304,13 +304,13 @@
 
 
 @pytest.mark.parametrize(
-    "offers,advice", [({"read anew": 300_000, "elsewhere": 20_000}, "elsewhere"), ({"read anew": 300_000}, "read anew")]
+    "alternatives,advice", [({"read anew": 300_000, "elsewhere": 20_000}, "elsewhere"), ({"read anew": 300_000}, "read anew")]
 )
-def test_a_slow_only_holder_is_left_for_what_the_caller_offers(offers, advice):
+def test_a_slow_only_holder_is_left_for_what_the_caller_offers(alternatives, advice):
     with Lab() as lab:
         lab.put("s", 200 * CHUNK)
         lab.relays[0].rate = 400_000
-        f = lab.end(lab.fetch("s", offers=offers))
+        f = lab.end(lab.fetch("s", alternatives=alternatives))
         assert f.why and f.advice == advice and lab.loop.clock.now_us() - f.start_us < S
         lab.check_nothing_held()
 
@@ -318,17 +318,17 @@
 def test_what_nobody_has_any_more_can_only_be_read_anew_and_a_full_receiver_asks_for_another():
     with Lab(memory=10 * CHUNK) as lab:
         lab.put("big", 20 * CHUNK)
-        assert lab.end(lab.fetch("none", offers={"elsewhere": 1})).advice == "read anew"
-        assert lab.end(lab.fetch("big", offers={"read anew": 1})).advice == "elsewhere"
+        assert lab.end(lab.fetch("none", alternatives={"elsewhere": 1})).advice == "read anew"
+        assert lab.end(lab.fetch("big", alternatives={"read anew": 1})).advice == "elsewhere"
 
 
 def test_a_receiver_that_has_just_started_takes_two_moves_at_once():
     with Lab() as lab:
         datas = [lab.put(f"s{i}", 20 * CHUNK, seed=i) for i in range(6)]
         lab.relays[0].rate = 8_000_000
-        lab.b.cold_until_us = lab.loop.clock.now_us() + 60 * S
+        lab.b.slow_start_until_us = lab.loop.clock.now_us() + 60 * S
         most, fetches = [], [lab.fetch(f"s{i}", due_s=6 - i) for i in range(6)]
-        lab.until(lambda: most.append(sum(f.link is not None for f in fetches)) or all(f.over for f in fetches))
+        lab.until(lambda: most.append(sum(f.link is not None for f in fetches)) or all(f.is_finished for f in fetches))
         assert [f.memory == d for f, d in zip(fetches, datas)] == [True] * 6 and max(most) == 2
         assert [f.name for f in lab.ended] == ["s0", "s1", "s5", "s4", "s3", "s2"]  # by when they are due
 
@@ -337,10 +337,10 @@
     with Lab() as lab:
         lab.put("s", 20 * CHUNK)
         lab.relays[0].rate = 1_000_000
-        lab.b.cold_until_us = lab.loop.clock.now_us() + 60 * S
+        lab.b.slow_start_until_us = lab.loop.clock.now_us() + 60 * S
         fetches = [lab.fetch("s", expires_s=0.15) for _ in range(5)]
         fetches[4].cancel()
-        lab.until(lambda: all(f.over for f in fetches))
+        lab.until(lambda: all(f.is_finished for f in fetches))
         lab.check_nothing_held()
         assert not lab.b.held_back
 
@@ -354,7 +354,7 @@
 
         def look():
             seen.update(t.verified for server in lab.senders[0].servers for t in server.sender.transfers.values())
-            return f.over
+            return f.is_finished
 
         lab.until(look)
         assert len(seen) > 8 and max(seen) > 100
@@ -496,7 +496,7 @@
                 lab.loop.call_later(ms * 1000, step)
 
         step()
-        lab.until(lambda: all(f.over for f in fetches), 4)
+        lab.until(lambda: all(f.is_finished for f in fetches), 4)
         for f in fetches:
             assert f.why is not None or f.memory == data
         for server in [s for a in lab.senders for s in a.servers]:
--- a/tests/test_transfer_files.py
+++ b/tests/test_transfer_files.py
@@ -78,7 +78,7 @@
         lab.until(
             lambda: (
                 any(len(server.stream.out) for server in lab.senders[0].servers)
-                or f.over
+                or f.is_finished
                 or f.receiver.missing
                 and f.receiver.missing < 58
             )
@@ -100,7 +100,7 @@
         f = lab.end(lab.fetch(name, folder=tmp_path))
         assert f.why is None and Path(f.path).parent == tmp_path and Path(f.path).read_bytes() == data
         f.free()
-        assert scan(tmp_path) == ([name], []) and lab.b.used == 0
+        assert scan(tmp_path) == ([name], []) and lab.b.used_bytes == 0
 
 
 @pytest.mark.parametrize("name", ["", "x" * 300, "a.part", "b.manifest"])
@@ -117,7 +117,7 @@
         lab.until(lambda: f.receiver.manifest and f.receiver.missing <= 40)
         left = f.receiver.missing
         lab.b.close()
-        assert lab.b.used == 0 and not (tmp_path / "s").exists()
+        assert lab.b.used_bytes == 0 and not (tmp_path / "s").exists()
         lab.relays[0].rate = None
         lab.b = Agent(lab.loop, "b", [b"key"], chunk=CHUNK)
         f = lab.end(lab.fetch("s", folder=tmp_path, keep=True))
@@ -155,7 +155,7 @@
         lab.put("s", 100 * CHUNK)
         lab.relays[0].rate = 1_000_000
         f = lab.end(lab.fetch("s", folder=tmp_path, expires_s=0.4))
-        assert f.why and os.listdir(tmp_path) == [] and lab.b.used == 0
+        assert f.why and os.listdir(tmp_path) == [] and lab.b.used_bytes == 0
 
 
 def test_a_folder_that_is_full_or_missing_is_no_room(tmp_path):
--- a/tests/test_transfer_machine.py
+++ b/tests/test_transfer_machine.py
@@ -32,8 +32,8 @@
             if have[i]:
                 at, size = manifest.span(i)
                 r.memory[at : at + size] = content[at : at + size]
-                r.have[i], r.missing = 1, r.missing - 1
-        r.out = dict.fromkeys(out, 0)
+                r.received[i], r.missing = 1, r.missing - 1
+        r.requested = dict.fromkeys(out, 0)
         r.next = 0
         return r
 
@@ -50,7 +50,7 @@
                 one.queue, one.credit, one.granted = deque(queue), credit, credit
                 assert s.want(1, [(i, i + 1) for i in asked], len(asked), 4)
                 assert one.granted == one.sent + one.credit
-                yield (have, frozenset(r2.out), tuple(one.queue), wire, one.credit, losses, damages)
+                yield (have, frozenset(r2.requested), tuple(one.queue), wire, one.credit, losses, damages)
         if queue and credit:
             s = Sender()
             s.open(1, None, 0)
@@ -66,12 +66,12 @@
                 at, size = manifest.span(index)
                 if place is not None:
                     place[:] = b"\xff\xff" if bad else content[at : at + size]
-                    assert r.came(index, size) == ("corrupt" if bad else "whole" if not r.missing else "good")
+                    assert r.chunk_received(index, size) == ("corrupt" if bad else "whole" if not r.missing else "good")
                 for i in range(4):
-                    if r.have[i]:
+                    if r.received[i]:
                         a, n = manifest.span(i)
                         assert bytes(r.memory[a : a + n]) == content[a : a + n]
-                yield (bytes(r.have), frozenset(r.out), queue, wire[1:], credit, losses, damages - bad)
+                yield (bytes(r.received), frozenset(r.requested), queue, wire[1:], credit, losses, damages - bad)
         if losses:
             yield (have, frozenset(), (), (), 0, losses - 1, damages)
 
@@ -104,7 +104,7 @@
     assert r.take_manifest(state(4)) == "new"
     r.ask(2, 0)
     r.place(0)[:] = bytes([1, 2])
-    assert r.came(0, 2) == "good"
+    assert r.chunk_received(0, 2) == "good"
     assert r.take_manifest(state(4)) == "same" and r.missing == 3 and r.ask(9, 0) == [(1, 4)]
     assert r.take_manifest(state(5)) == "other" and r.missing == 5
     full = Receiver("s", lambda n: None)
@@ -188,16 +188,16 @@
 
 
 def test_whose_trouble_it_is_decides_what_else_could_be_done():
-    offers, paths = {"read anew": 800 * MS, "elsewhere": 30 * MS}, Paths()
-    assert paths.whose("a") is None and [w.what for w in other_ways(offers, 10, None)] == ["read anew", "elsewhere"]
+    alternatives, paths = {"read anew": 800 * MS, "elsewhere": 30 * MS}, Paths()
+    assert paths.whose("a") is None and [w.what for w in other_ways(alternatives, 10, None)] == ["read anew", "elsewhere"]
     for _ in range(3):
         paths.told("a", False)
         paths.told("b", True)
-    assert paths.whose("a") == "holder" and [w.what for w in other_ways(offers, 10, "holder")] == ["read anew"]
+    assert paths.whose("a") == "holder" and [w.what for w in other_ways(alternatives, 10, "holder")] == ["read anew"]
     for _ in range(4):
         paths.told("b", False)
         paths.told("c", False)
-    assert paths.whose("a") == "own" and [w.what for w in other_ways(offers, 10, "own")] == ["elsewhere"]
+    assert paths.whose("a") == "own" and [w.what for w in other_ways(alternatives, 10, "own")] == ["elsewhere"]
     assert paths.whose("never met") is None
 
 
--- a/tests/test_transfer_program.py
+++ b/tests/test_transfer_program.py
@@ -289,7 +289,7 @@
     for name, size in (("one", 60_000), ("two", 60_000)):
         (folder / name).write_bytes(os.urandom(size))
     assert p.answer("PUT", "/v1/states/one")[0] == 201 and p.answer("PUT", "/v1/states/two")[0] == 507
-    assert p.agent.used == 60_000 and p.answer("DELETE", "/v1/states/one")[0] == 200 and p.agent.used == 0
+    assert p.agent.used_bytes == 60_000 and p.answer("DELETE", "/v1/states/one")[0] == 200 and p.agent.used_bytes == 0
     assert p.answer("PUT", "/v1/states/two")[0] == 201
 
 
@@ -298,7 +298,7 @@
     (Path(p.program.folder) / "s").write_bytes(b"state")
     assert p.answer("PUT", "/v1/states/s")[0] == 201
     p.until(lambda: not p.agent.states)
-    assert p.agent.used == 0 and os.listdir(p.program.folder) == []
+    assert p.agent.used_bytes == 0 and os.listdir(p.program.folder) == []
 
 
 def test_a_file_without_manifest_is_not_served_after_a_start(tmp_path):
