--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from whole import Place, Raw, Taken, chat, post, status
+from gateway_site import GatewaySite, RawClient, ResponseCollector, chat, post, status
 
 from lapiswing.admin.client import AdminError, ask, place_of
 from lapiswing.admin.feed import Feed
@@ -26,7 +26,7 @@
     def __init__(self, folder, more="", **place):
         self.look, self.act_at = str(folder / "look.sock"), str(folder / "act.sock")
         self.audit = folder / "audit.jsonl"
-        self.place = Place(
+        self.place = GatewaySite(
             more=f'admin {{ path: "{self.look}" control_path: "{self.act_at}" audit_file: "{self.audit}" {more} }}', **place
         )
         self.loop, self.admin = self.place.loop, self.place.gateway.admin
@@ -43,7 +43,12 @@
         out = []
         fields = [(b"authorization", b"Bearer " + key.encode())] if key else []
         self.pool.request(
-            where or self.look, method, path.encode(), fields, json.dumps(value).encode() if value else b"", Taken(out.append)
+            where or self.look,
+            method,
+            path.encode(),
+            fields,
+            json.dumps(value).encode() if value else b"",
+            ResponseCollector(out.append),
         )
         assert self.loop.run_until(lambda: out, 5 * S)
         status, body = out[0]
@@ -53,7 +58,7 @@
         return self.ask("/v1/actions", where or self.act_at, b"POST", value, key)
 
     def start(self, model="question", text="hello there", **more):
-        return Raw(self.place, post(chat(model, text, **more)))
+        return RawClient(self.place, post(chat(model, text, **more)))
 
     def call(self, model="question", text="hello there", **more):
         raw = self.start(model, text, **more)
@@ -101,7 +106,7 @@
 def test_looking_is_one_right_and_acting_another(desk):
     box = desk.place.ids[1]
     assert desk.act({"act": "drain", "what": box}, desk.look)[0] == 403
-    assert desk.place.core.membership.ordered == set()
+    assert desk.place.core.membership.operator_drains == set()
     status_, answer = desk.act({"act": "drain", "what": box})
     assert status_ == 200 and answer["done"] == f"{box} drains"
     row = json.loads(desk.audit.read_text())
@@ -132,7 +137,7 @@
     assert desk.act({"act": "cap", "what": "demo", "rps": 0, "minutes": 5})[0] == 200
     assert desk.call() == 429 or desk.place.core.counts["capped"] == 1
     assert desk.place.core.counts["taken"] == 0 and not desk.place.rows("arrive")
-    raw = Raw(desk.place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
+    raw = RawClient(desk.place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
     assert status(raw.until()) == 200
     _, snap = desk.ask("/v1/snapshot?parts=tenants")
     assert next(t for t in snap["tenants"] if t["tenant"] == "demo")["cap"]["rps"] == 0
@@ -157,7 +162,7 @@
 def test_acts_that_can_not_be(desk, value, reason):
     status_, answer = desk.act(value)
     assert status_ in (400, 409) and reason in answer["error"]
-    assert not desk.place.core.caps.caps and not desk.place.core.membership.ordered
+    assert not desk.place.core.caps.caps and not desk.place.core.membership.operator_drains
 
 
 def test_the_gateway_is_drained_by_an_act(desk):
@@ -226,7 +231,7 @@
     feed = desk.admin.feed
     assert feed.size <= feed.most_bytes and len(feed.lines) <= feed.most
     stream = next(c.stream for s in desk.admin.servers for c in s.connections if c.current)
-    assert stream.waiting < 300_000
+    assert stream.unsent_bytes < 300_000
     assert desk.call() == 200
     desk.loop.run_until(lambda: reader.read() and reader.read()[-1].get("seq") == feed.seq, 10 * S)
     lost = [r for r in reader.read() if r["type"] == "lost"]
@@ -246,7 +251,7 @@
     desk.admin.build = lambda wanted: (builds.append(wanted), real(wanted))[1]
     out = []
     for _ in range(20):
-        desk.pool.request(desk.look, b"GET", b"/v1/snapshot", [], b"", Taken(lambda answer: out.append(answer[0])))
+        desk.pool.request(desk.look, b"GET", b"/v1/snapshot", [], b"", ResponseCollector(lambda answer: out.append(answer[0])))
     assert desk.loop.run_until(lambda: len(out) == 20, 5 * S) and out == [200] * 20 and len(builds) == 1
 
 
@@ -263,7 +268,7 @@
     spec = real.spec
     for i in range(5000):
         req = Req(10**6 + i, spec, core.loop.clock.now_us())
-        req.trail = ["read 127.0.0.1:1 read 7"]
+        req.attempt_history = ["read 127.0.0.1:1 read 7"]
         core.reqs[req.rid] = req
     turns, hook = [], desk.place.gateway.tasks.turn
 
@@ -367,14 +372,16 @@
 
     rows = [Server(n, 0, 0, 0, 1.0, 0, "ready") for n in ("a", "b")]
     members = Membership()
-    members.list(rows)
-    assert [r.mode for r in members.order("a", True)[2]] == ["draining"] and members.why("a") == "operator"
-    assert members.said("a", True) is None and members.said("a", False) is None  # no change: it drains in any case
-    assert members.list(rows) is None and members.why("a") == "operator"
-    assert [r.mode for r in members.order("a", False)[2]] == ["ready"]
-    members.order("b", True)
-    members.list(rows[:1])
-    members.list(rows)
-    assert members.told["b"].mode == "ready"  # the list had dropped it: the order has ended
+    members.update_list(rows)
+    assert [r.mode for r in members.set_operator_draining("a", True)[2]] == ["draining"] and members.reason_of("a") == "operator"
+    assert (
+        members.set_reported_draining("a", True) is None and members.set_reported_draining("a", False) is None
+    )  # no change: it drains in any case
+    assert members.update_list(rows) is None and members.reason_of("a") == "operator"
+    assert [r.mode for r in members.set_operator_draining("a", False)[2]] == ["ready"]
+    members.set_operator_draining("b", True)
+    members.update_list(rows[:1])
+    members.update_list(rows)
+    assert members.published["b"].mode == "ready"  # the list had dropped it: the order has ended
     with pytest.raises(KeyError):
-        members.order("c", True)
+        members.set_operator_draining("c", True)
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -5,13 +5,13 @@
 import types
 
 import pytest
-from platform_door import Quiet
+from platform_harness import RecordingLog
 from simfiles import SimFiles
 
 from lapiswing.fleet.host import OTHERS, OWN, Host
 from lapiswing.loop import Clock, Loop, free_ports
 from lapiswing.settings import SettingsError, load_text
-from lapiswing.store import Engine, Files, Inline
+from lapiswing.store import Engine, Files, InlineWorker
 
 S = 1_000_000
 HEALED_US = 10 * S  # rows that a copy has missed are with it within this time (docs/fleet.md)
@@ -31,7 +31,7 @@
             self.start(name)
 
     def start(self, name, files=None):
-        store = self.stores[name] = Engine(files or Files(self.folder / name), Inline()).open()
+        store = self.stores[name] = Engine(files or Files(self.folder / name), InlineWorker()).open()
         settings = types.SimpleNamespace(
             listen=types.SimpleNamespace(host="127.0.0.1", port=self.ports[name]),
             address="",
@@ -39,7 +39,7 @@
             key=[KEY],
         )
         host = self.hosts[name] = Host(
-            self.loop, settings, name, "z", store, Quiet(), on_row=lambda row: self.rows.append((name, row.key))
+            self.loop, settings, name, "z", store, RecordingLog(), on_row=lambda row: self.rows.append((name, row.key))
         )
         host.start()
         return host
@@ -180,11 +180,11 @@
 
 
 def test_a_gateway_joins_where_it_is_configured_and_loads_nothing_of_it_elsewhere(site):
-    from whole import Place
+    from gateway_site import GatewaySite
 
     (port,) = free_ports(1)
     more = f'fleet {{ listen {{ host: "127.0.0.1" port: {port} }} peer: "127.0.0.1:{site.ports["a"]}" key: "{KEY}" }}\n'
-    with Place(more=more) as place:
+    with GatewaySite(more=more) as place:
         fleet, end = place.gateway.fleet, site.loop.clock.now_us() + 10 * S
         while not fleet.link.may_write() and site.loop.clock.now_us() < end:
             site.loop.turn(5_000)
