--- a/lapiswing/state/memory.py
+++ b/lapiswing/state/memory.py
@@ -36,7 +36,7 @@
         """-> False for a call that has to be recorded and can't be."""
         if not self.needs_record(entry) or self.go_on or self.engine.mode in ("good", "full") and not self.engine.why:
             return True
-        if self.engine.mode == "full" and self.engine.wall() >= self.engine.again_ms:
+        if self.engine.mode == "full" and self.engine.wall_clock_ms() >= self.engine.retry_at_ms:
             return True  # this call finds out whether the disk has space again
         self.counts["not taken"] += 1
         return False
@@ -125,7 +125,7 @@
             )
             if entry is not None:
                 entry.recorded_ms = sent_ms
-        membership.ordered |= set(found.drains)
+        membership.operator_drains |= set(found.drains)
         for tenant, rps, until_ms in found.caps:
             if tenant in tenants:
                 caps.put(self.to_us(now_ms), tenants.index(tenant), rps, (until_ms - now_ms) * 1000)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -177,9 +177,9 @@
         place.until(lambda: len(done) == 2)
         assert [why for why, _ in done] == [None, None]
         restart(place, tmp_path)
-        assert place.core.membership.told[box].mode == "draining" and place.core.membership.why(box) == "operator"
-        assert status(Raw(place, post(chat("question"))).until()) in (429, 503)
-        raw = Raw(place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
+        assert place.core.membership.published[box].mode == "draining" and place.core.membership.reason_of(box) == "operator"
+        assert status(RawClient(place, post(chat("question"))).until()) in (429, 503)
+        raw = RawClient(place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
         assert status(raw.until()) == 200 and not place.rows("arrive", box=box)
 
 
