--- a/lapiswing/policy.py
+++ b/lapiswing/policy.py
@@ -179,12 +179,12 @@
         """Recomputes the scores of all pairs from the present measurements and moves shares once."""
         if not self.table.pairs.size:
             return
-        n, sum_tokens, sum_latency, sum_product, sum_squares = self.same_cell_sums
-        if n > 4 and n * sum_squares > sum_tokens * sum_tokens:
+        samples, sum_tokens, sum_latency, sum_product, sum_squares = self.same_cell_sums
+        if samples > 4 and samples * sum_squares > sum_tokens * sum_tokens:
             self.transfer_us_per_token[0] = max(
                 0.0,
                 min(
-                    (n * sum_product - sum_tokens * sum_latency) / (n * sum_squares - sum_tokens * sum_tokens),
+                    (samples * sum_product - sum_tokens * sum_latency) / (samples * sum_squares - sum_tokens * sum_tokens),
                     sum_latency / sum_tokens,
                 ),
             )
@@ -249,8 +249,10 @@
         # At least a third of the memory, so that an idle gateway still spreads its requests.
         streams = max(sum(own.tolist()), sum(memory.tolist()) / 3)
         us_per_token = np.array([self.read_us_per_token(r) for r in self.readers])
-        n = self.open_streams[self.writer_rows].sum() / len(self.writers)
-        confidence = n / (n + 1)  # own streams say something about a writer only where each writer has some
+        streams_per_writer = self.open_streams[self.writer_rows].sum() / len(self.writers)
+        confidence = streams_per_writer / (
+            streams_per_writer + 1
+        )  # own streams say something about a writer only where each writer has some
         # The writers' reports on their memory, shrunk towards the mean of all as they grow old.
         freshness = 0.5 ** (np.array([self.now - w.memory_reported_us for w in self.writers]) / MEMORY_REPORT_HALF_LIFE_US)
         used = np.array([w.memory_used for w in self.writers])
@@ -293,7 +295,7 @@
                 # Drawback: where cancelling stops nothing the work is done twice. The typical time keeps general congestion
                 # from moving all attempts, and without enough own reads to recognise congestion no attempt is moved: the
                 # moves of many gateways would multiply it.
-                replayable, holder = self.request_classes[req.request_class].effect == "replayable", req.holder
+                replayable, holder = self.request_classes[req.class_index].effect == "replayable", req.holder
                 late = (
                     enough_reads
                     and (stage == "read" or stage == "write" and replayable and server.memory_used < MEMORY_FULL_FRACTION)
@@ -370,8 +372,8 @@
         """Whether a prompt of `relative_length` times the mean stays within a part of what the overload rule allows for random
         variation. Guards against a single prompt that overloads a cold server. Drawback: long prompts wait where few servers
         are warm."""
-        n = self.overload_window_us * self.slow_start_level(server) / max(1.0, mean_tokens * self.read_us_per_token(server))
-        return relative_length <= allowance * (sqrt(n) + 1)
+        prompts = self.overload_window_us * self.slow_start_level(server) / max(1.0, mean_tokens * self.read_us_per_token(server))
+        return relative_length <= allowance * (sqrt(prompts) + 1)
 
     def prefill_rate(self):
         """Requests per second that this gateway's part of all prefill servers can do: the higher of what warm servers served
@@ -410,15 +412,15 @@
         bounds = accumulate(part for _, part in parts)
         return next((server for (server, _), bound in zip(parts, bounds) if draw < bound), None)
 
-    def on_req(self, rid, tokens, expires_us, session, prefix, prefix_tokens, _max_out, _hint, bits, tenant, request_class):
-        c = self.request_classes[request_class]
-        due_us = self.now + c.target_us + c.target_per_1000_us * tokens // 1000
-        req = self.reqs[rid] = RequestState(rid, request_class, tenant or 0, tokens, self.now, expires_us, due_us)
+    def on_req(self, rid, tokens, expires_us, session, prefix, prefix_tokens, _max_out, _hint, bits, tenant, class_index):
+        request_class = self.request_classes[class_index]
+        due_us = self.now + request_class.target_us + request_class.target_per_1000_us * tokens // 1000
+        req = self.reqs[rid] = RequestState(rid, class_index, tenant or 0, tokens, self.now, expires_us, due_us)
         req.session, req.prefix, req.prefix_tokens = session, prefix, prefix_tokens or 0
         req.client_retry = bool(bits & RETRY_BITS)
         decay = 0.5 ** ((self.now - self.burst_updated_us) / BURST_HALF_LIFE_US)
         self.burst, self.burst_updated_us = self.burst * decay + (not req.client_retry), self.now
-        self.class_mix[request_class] = [self.class_mix[request_class][0] + 1, self.class_mix[request_class][1] + tokens]
+        self.class_mix[class_index] = [self.class_mix[class_index][0] + 1, self.class_mix[class_index][1] + tokens]
         self.retry_budget, self.recent_reqs = min(10.0, self.retry_budget + 0.6), self.recent_reqs + 1
         if prefix is not None:
             self.popularity[prefix] = self.popularity.get(prefix, 0) + 1
@@ -534,9 +536,9 @@
 
     def popularity_of(self, key):
         """A prefix's part of the recent requests, shrunk towards the probability that two requests share their prefix."""
-        n, prior = sum(self.popularity.values()), 0.25 / max(1, len(self.readers))
-        same = (sum(h * max(0, h - 1) for h in self.popularity.values()) + 50 * prior) / (n * (n - 1) + 50)
-        return (max(0, self.popularity.get(key, 0) - 1) + 10 * same) / (n + 10)
+        total, prior = sum(self.popularity.values()), 0.25 / max(1, len(self.readers))
+        same = (sum(h * max(0, h - 1) for h in self.popularity.values()) + 50 * prior) / (total * (total - 1) + 50)
+        return (max(0, self.popularity.get(key, 0) - 1) + 10 * same) / (total + 10)
 
     def read_us_per_token(self, server):
         """Measured read time per prompt token, shrunk towards that of the server's kind while there are few measurements."""
@@ -574,14 +576,15 @@
 
     def may_attempt(self, req, server):
         """Whether an attempt at this server can't repeat an effect: replayable, never run yet, or dropped as a repeat."""
-        c = self.request_classes[req.request_class]
-        domain = {"zone": lambda s: s.zone, "cell": lambda s: s.cell}.get(c.repeat_scope, lambda s: 0)
+        request_class = self.request_classes[req.class_index]
+        domain = {"zone": lambda s: s.zone, "cell": lambda s: s.cell}.get(request_class.repeat_scope, lambda s: 0)
         return (
-            c.effect == "replayable"
+            request_class.effect == "replayable"
             or not req.may_have_run
-            or c.effect == "keyed"
+            or request_class.effect == "keyed"
             and all(
-                self.repeat_time_left(c, sent_us) >= 0 and domain(first) == domain(server) for first, sent_us in req.may_have_run
+                self.repeat_time_left(request_class, sent_us) >= 0 and domain(first) == domain(server)
+                for first, sent_us in req.may_have_run
             )
         )
 
@@ -591,15 +594,19 @@
 
     def connect_time_left(self, req):
         """Time in which an attempt's connection has to be up, for the release of a held state and for a repeat's window."""
-        c, left_us = self.request_classes[req.request_class], req.connect_by_us - self.now
-        if c.effect == "keyed":
-            left_us = min([left_us] + [self.repeat_time_left(c, sent_us) for _, sent_us in req.may_have_run])
+        request_class, left_us = self.request_classes[req.class_index], req.connect_by_us - self.now
+        if request_class.effect == "keyed":
+            left_us = min([left_us] + [self.repeat_time_left(request_class, sent_us) for _, sent_us in req.may_have_run])
         return max(MIN_CONNECT_US, left_us)
 
     def may_reject(self, req):
         """Whether the client may be told to retry: no attempt has run, or a repeat anywhere is harmless."""
-        c = self.request_classes[req.request_class]
-        return c.effect == "replayable" or not req.may_have_run or (c.effect == "keyed" and c.repeat_scope == "all")
+        request_class = self.request_classes[req.class_index]
+        return (
+            request_class.effect == "replayable"
+            or not req.may_have_run
+            or (request_class.effect == "keyed" and request_class.repeat_scope == "all")
+        )
 
     def send(self, req, server, stage):
         """Sends one attempt and adds it to the request's attempts and to the server's load."""
@@ -748,8 +755,8 @@
         if req.begun_attempt == number:
             self.open_streams[server.row] -= 1
             if code == "done":
-                usual_us, took_us = self.answer_us[req.request_class], self.now - req.begun_us
-                self.answer_us[req.request_class] = usual_us + (took_us - usual_us) * 0.05 if usual_us else took_us
+                usual_us, took_us = self.answer_us[req.class_index], self.now - req.begun_us
+                self.answer_us[req.class_index] = usual_us + (took_us - usual_us) * 0.05 if usual_us else took_us
                 self.expected_stream_us[server.row] += usual_us or took_us
         if code == "read":
             req.holder, req.held_us = server, self.now
@@ -780,7 +787,7 @@
             req.tried.add(server.id)  # where answers get lost in general, the reader still has the prompt cached
         # What never left this machine is no load anywhere. Drawback: up to five more attempts of each request.
         self.retry_budget = max(-1.0, self.retry_budget - (code != "no_way"))
-        if self.retry_budget < 0 or req.may_have_run and self.request_classes[req.request_class].effect == "non-replayable":
+        if self.retry_budget < 0 or req.may_have_run and self.request_classes[req.class_index].effect == "non-replayable":
             return self.give_up(req)
         self.write(req) if req.holder is not None else self.read(req)
 
--- a/lapiswing/routing/__init__.py
+++ b/lapiswing/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on requests, in modules of one job each, and the state that they work on."""
+"""Parts of the router: its state, the pair table, seeded randomness, and what it saves for the next process."""
--- a/lapiswing/routing/state.py
+++ b/lapiswing/routing/state.py
@@ -31,8 +31,13 @@
 class RequestState:
     """One request from its arrival until it is closed and no attempt is open."""
 
-    def __init__(self, rid, request_class, tenant, tokens, now_us, expires_us, due_us):
-        self.id, self.request_class, self.tenant, self.tokens = rid, request_class, tenant, tokens
+    def __init__(self, rid, class_index, tenant, tokens, now_us, expires_us, due_us):
+        self.id, self.class_index, self.tenant, self.tokens = (
+            rid,
+            class_index,
+            tenant,
+            tokens,
+        )  # class_index: of its request class
         # due_us: by when the first token is due. connect_by_us: by when an attempt's connection has to be up, so that a held
         # state is released in time.
         self.arrived_us, self.due_us, self.expires_us, self.connect_by_us = now_us, due_us, expires_us, expires_us
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -79,8 +79,8 @@
 def test_shedding_cannot_lock_up():
     """A read cost measured under congestion must not reject everything once the congestion is over."""
     play = Play()
-    for m in play.router.readers:
-        m.read_us, m.read_tokens = 1e9, 1e6
+    for reader in play.router.readers:
+        reader.read_us, reader.read_tokens = 1e9, 1e6
     for i in range(4):
         play.at(10 + i, play.req(i))
     assert [line.split()[0] for line in play.out.lines if line[0] != "-" and "shed" not in line] == [
@@ -129,9 +129,9 @@
     for i in range(6):
         play.at(10 + i, play.req(i, prefix=f"c:{i}"))
     hung = play.sent()[0][2]
-    for f in play.sent():
-        if f[2] != hung:
-            play.at(100, play.outcome(int(f[1]), 0, f[2], "read"), ("client_left", int(f[1])))
+    for attempt in play.sent():
+        if attempt[2] != hung:
+            play.at(100, play.outcome(int(attempt[1]), 0, attempt[2], "read"), ("client_left", int(attempt[1])))
     for ms in range(250, 2000, 250):
         play.at(ms, ("timer", 0))
     assert [line for line in play.out.lines if line.startswith(f"log suspect {hung} on: silent")]
@@ -182,8 +182,8 @@
 def test_a_request_that_expires_before_its_read_ends_is_rejected():
     """The client says when it leaves: what would take longer is rejected, since the read would be wasted."""
     play = Play()
-    for m in play.router.readers:
-        m.read_us, m.read_tokens, m.tokens_in_flight = 2e8, 1e6, 1000
+    for reader in play.router.readers:
+        reader.read_us, reader.read_tokens, reader.tokens_in_flight = 2e8, 1e6, 1000
     play.at(10, play.req(1, expires_ms=5000))
     play.at(20, play.req(2, expires_ms=400))
     assert [line[1] for line in play.sent("push_back")] == ["2"] and not play.sent("push_back")[0][2].startswith("-")
