--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -23,164 +23,164 @@
 S = 1_000_000
 
 
-def restart(place, folder):
+def restart(site, folder):
     """Starts another gateway before the same model servers. The earlier one ends as if killed, without an orderly close."""
     from lapiswing.gateway.serve import Gateway
     from lapiswing.observe import start_logs
 
-    old = place.gateway
+    old = site.gateway
     old.listener.close()
     for stream in [c.stream for c in old.server.connections] + [c.stream for c in old.pool.all]:
         stream.abort()
     old.store.held.close()  # the kernel releases the lock of a dead process
     old.store.mode = "closed"
-    place.loop.after.remove(old.core.turn)
+    site.loop.after.remove(old.core.turn)
     old.settings.listen.port = free_ports(1)[0]
-    place.gateway = Gateway(old.settings, start_logs("error"), place.loop)
-    place.gateway.start()
-    place.port, place.core = place.gateway.port, place.gateway.core
+    site.gateway = Gateway(old.settings, start_logs("error"), site.loop)
+    site.gateway.start()
+    site.port, site.core = site.gateway.port, site.gateway.core
 
 
-def with_store(folder, more="", **place):
-    return GatewaySite(more=f'store {{ folder: "{folder}" {more} }}', **place)
+def with_store(folder, more="", **options):
+    return GatewaySite(more=f'store {{ folder: "{folder}" {more} }}', **options)
 
 
-def call(place, key="k1", model="order", text="one soup", most_s=8, **more):
-    return RawClient(place, post(chat(model, text, **more), Idempotency_Key=key))
+def call(site, key="k1", model="order", text="one soup", most_s=8, **more):
+    return RawClient(site, post(chat(model, text, **more), Idempotency_Key=key))
 
 
 def test_an_answer_given_before_a_restart_is_given_again_and_nothing_runs_twice(tmp_path):
-    with with_store(tmp_path / "s") as place:
-        first = call(place).until()
+    with with_store(tmp_path / "s") as site:
+        first = call(site).until()
         assert status(first) == 200
-        place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
-        restart(place, tmp_path)
-        second = call(place).until()
+        site.until(lambda: not site.gateway.store.busy and not site.gateway.store.waiting)
+        restart(site, tmp_path)
+        second = call(site).until()
         assert status(second) == 200 and words(second) == words(first)
-        assert len(place.rows("ran")) == 1 and place.core.counts["replayed"] == 1
-        assert status(call(place, text="other things").until()) == 422
+        assert len(site.rows("ran")) == 1 and site.core.counts["replayed"] == 1
+        assert status(call(site, text="other things").until()) == 422
 
 
 def test_a_call_that_was_cut_off_by_the_kill_is_in_doubt(tmp_path):
     """Its attempt is at a model server; where not all servers drop repeats it must not be sent again."""
-    with with_store(tmp_path / "s", scope="ZONE") as place:
-        raw = call(place, tokens=3000)
-        place.until(lambda: place.rows("ran"))
-        raw.read()
-        restart(place, tmp_path)
-        got = call(place, tokens=3000).until()
-        assert status(got) == 502 and len(place.rows("ran")) == 1
+    with with_store(tmp_path / "s", scope="ZONE") as site:
+        client = call(site, tokens=3000)
+        site.until(lambda: site.rows("ran"))
+        client.read()
+        restart(site, tmp_path)
+        got = call(site, tokens=3000).until()
+        assert status(got) == 502 and len(site.rows("ran")) == 1
 
 
 def test_where_all_servers_drop_repeats_a_call_is_retried_only_within_the_window(tmp_path):
-    with with_store(tmp_path / "s") as place:
-        first = call(place, tokens=3000)
-        place.until(lambda: place.rows("ran"))
-        key = place.rows("ran")[0]["key"]
-        restart(place, tmp_path)
-        raw = call(place, tokens=3000)
-        place.until(lambda: place.rows("repeat", key=key))
-        entry = next(iter(place.core.repeats.entries.values()))
-        assert entry.sent_us + 5 * S <= place.loop.clock.now_us() + 5 * S
-        raw.left()
+    with with_store(tmp_path / "s") as site:
+        first = call(site, tokens=3000)
+        site.until(lambda: site.rows("ran"))
+        key = site.rows("ran")[0]["key"]
+        restart(site, tmp_path)
+        client = call(site, tokens=3000)
+        site.until(lambda: site.rows("repeat", key=key))
+        entry = next(iter(site.core.repeats.entries.values()))
+        assert entry.sent_us + 5 * S <= site.loop.clock.now_us() + 5 * S
+        client.left()
         first.sock.close()
-        assert len(place.rows("ran")) == 1
+        assert len(site.rows("ran")) == 1
 
 
 def test_a_retry_does_not_extend_the_window_of_the_servers(tmp_path):
     """Servers drop repeats for a window from the first try on. After two kills the second try's time was taken for the
     first's, and a third try could run the effect again."""
-    with with_store(tmp_path / "s") as place:
-        raws = [call(place, tokens=3000)]
-        place.until(lambda: place.rows("ran"))
-        first = next(iter(place.core.repeats.entries.values())).sent_us
+    with with_store(tmp_path / "s") as site:
+        clients = [call(site, tokens=3000)]
+        site.until(lambda: site.rows("ran"))
+        first = next(iter(site.core.repeats.entries.values())).sent_us
         for i in (1, 2):
-            restart(place, tmp_path)
-            place.turn_for(120)
-            raws.append(call(place, tokens=3000))
-            place.until(lambda: len(place.rows("repeat")) == i)
-            entry = next(iter(place.core.repeats.entries.values()))
+            restart(site, tmp_path)
+            site.turn_for(120)
+            clients.append(call(site, tokens=3000))
+            site.until(lambda: len(site.rows("repeat")) == i)
+            entry = next(iter(site.core.repeats.entries.values()))
             assert entry.sent_us <= first + 5000
-        for raw in raws:
-            raw.left()
+        for client in clients:
+            client.left()
 
 
 def test_the_intent_is_on_the_disk_before_the_call_is_sent(tmp_path):
-    with with_store(tmp_path / "s") as place:
-        worker, jobs = place.gateway.store.worker, []
+    with with_store(tmp_path / "s") as site:
+        worker, jobs = site.gateway.store.worker, []
         real = worker.submit
         worker.submit = lambda job, done: jobs.append((job, done))  # a disk that stalls
-        raw = call(place)
-        place.until(lambda: place.rows("state"))
-        place.turn_for(100)
-        assert not place.rows("arrive", stage="write") and jobs
+        client = call(site)
+        site.until(lambda: site.rows("state"))
+        site.turn_for(100)
+        assert not site.rows("arrive", stage="write") and jobs
         worker.submit = real
         for job in jobs:
             real(*job)
-        assert status(raw.until()) == 200 and len(place.rows("ran")) == 1
+        assert status(client.until()) == 200 and len(site.rows("ran")) == 1
 
 
 def test_a_disk_that_stalls_holds_no_state_and_leaves_no_doubt(tmp_path):
-    with with_store(tmp_path / "s") as place:
-        worker, jobs = place.gateway.store.worker, []
+    with with_store(tmp_path / "s") as site:
+        worker, jobs = site.gateway.store.worker, []
         real = worker.submit
         worker.submit = lambda job, done: jobs.append((job, done))
-        raw = call(place)
-        place.until(lambda: place.rows("state"))
-        assert status(raw.until()) in (429, 503)
-        place.until(lambda: place.rows("let_go"))
-        held = place.rows("let_go")[0]["t"] - place.rows("state")[0]["t"]
-        assert held < 500_000 and not place.rows("arrive", stage="write")
+        client = call(site)
+        site.until(lambda: site.rows("state"))
+        assert status(client.until()) in (429, 503)
+        site.until(lambda: site.rows("let_go"))
+        held = site.rows("let_go")[0]["t"] - site.rows("state")[0]["t"]
+        assert held < 500_000 and not site.rows("arrive", stage="write")
         worker.submit = real
         for job in jobs:
             real(*job)
-        place.until(lambda: not place.gateway.store.busy)
-        assert status(call(place).until()) == 200 and len(place.rows("ran")) == 1  # it never ran, so it may now
+        site.until(lambda: not site.gateway.store.busy)
+        assert status(call(site).until()) == 200 and len(site.rows("ran")) == 1  # it never ran, so it may now
 
 
 @pytest.mark.parametrize("more,code,ran", [("", 503, 0), ("when_lost: GO_ON", 200, 1)])
 def test_with_a_store_that_can_not_write_calls_with_a_key_go_as_the_settings_say(tmp_path, more, code, ran):
-    with with_store(tmp_path / "s", more) as place:
+    with with_store(tmp_path / "s", more) as site:
 
         def fail(fd, at, data):
             raise OSError(5, "Input/output error")
 
-        place.gateway.store.files.write = fail
-        first = call(place, key="a").until()
+        site.gateway.store.files.write = fail
+        first = call(site, key="a").until()
         assert status(first) in ((503, 429) if code == 503 else (200,))
-        assert status(call(place, key="b").until()) in ((503, 429) if code == 503 else (200,))
-        assert place.gateway.store.mode == "failed"
-        assert status(RawClient(place, post(chat("question"))).until()) == 200  # the others go on
-        assert len(place.rows("ran", model="order")) == 2 * ran
+        assert status(call(site, key="b").until()) in ((503, 429) if code == 503 else (200,))
+        assert site.gateway.store.mode == "failed"
+        assert status(RawClient(site, post(chat("question"))).until()) == 200  # the others go on
+        assert len(site.rows("ran", model="order")) == 2 * ran
 
 
 def test_a_gateway_whose_store_can_not_be_read_serves_without_it(tmp_path):
-    with with_store(tmp_path / "s") as place:
-        assert status(call(place).until()) == 200
-        place.until(lambda: not place.gateway.store.busy)
+    with with_store(tmp_path / "s") as site:
+        assert status(call(site).until()) == 200
+        site.until(lambda: not site.gateway.store.busy)
         (tmp_path / "s" / "MANIFEST").write_bytes(b"damaged")
-        restart(place, tmp_path)
-        assert place.gateway.store.mode == "failed" and "MANIFEST" in place.gateway.store.why
-        assert status(call(place).until()) in (429, 503) and len(place.rows("ran")) == 1
-        assert status(RawClient(place, post(chat("question"))).until()) == 200
+        restart(site, tmp_path)
+        assert site.gateway.store.mode == "failed" and "MANIFEST" in site.gateway.store.why
+        assert status(call(site).until()) in (429, 503) and len(site.rows("ran")) == 1
+        assert status(RawClient(site, post(chat("question"))).until()) == 200
 
 
 def test_an_operators_drain_and_cap_outlive_a_restart(tmp_path):
     from lapiswing.admin.serve import Admin
 
-    with with_store(tmp_path / "s") as place:
-        admin = Admin(place.gateway, place.gateway.log)
-        box, done = place.ids[1], []
+    with with_store(tmp_path / "s") as site:
+        admin = Admin(site.gateway, site.gateway.log)
+        box, done = site.ids[1], []
         for act, ask, what in (("drain", {"what": box}, box), ("cap", {"rps": 0, "minutes": 5}, "demo")):
             do = admin.act_drain(ask, what) if act == "drain" else admin.act_cap(ask, what)
             admin.put_down(act, ask, what, lambda why, do=do: done.append((why, do())))
-        place.until(lambda: len(done) == 2)
+        site.until(lambda: len(done) == 2)
         assert [why for why, _ in done] == [None, None]
-        restart(place, tmp_path)
-        assert place.core.membership.published[box].mode == "draining" and place.core.membership.reason_of(box) == "operator"
-        assert status(RawClient(place, post(chat("question"))).until()) in (429, 503)
-        raw = RawClient(place, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
-        assert status(raw.until()) == 200 and not place.rows("arrive", box=box)
+        restart(site, tmp_path)
+        assert site.core.membership.published[box].mode == "draining" and site.core.membership.reason_of(box) == "operator"
+        assert status(RawClient(site, post(chat("question"))).until()) in (429, 503)
+        client = RawClient(site, post(chat("question")).replace(b"Bearer demo", b"Bearer other"))
+        assert status(client.until()) == 200 and not site.rows("arrive", box=box)
 
 
 def test_expired_and_unreadable_records_are_not_restored():
@@ -346,29 +346,29 @@
 
 def test_learned_state_outlives_a_restart_and_a_bad_record_means_a_fresh_start(tmp_path):
     """What the router has learned is stored and restored; a damaged, outdated or invalid record never prevents a start."""
-    with with_store(tmp_path / "s") as place:
+    with with_store(tmp_path / "s") as site:
         for text in ("one", "two", "three"):
-            assert status(call(place, key=text, text=text).until()) == 200
-        before = place.core.router.learned_state()
+            assert status(call(site, key=text, text=text).until()) == 200
+        before = site.core.router.learned_state()
         assert before["groups"][1][1] > 0 and any(row[4] for row in before["boxes"]) and before["kinds"][0][2] > 0
-        place.gateway.save_learned_state()
-        place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
-        restart(place, tmp_path)
-        router = place.core.router
-        reader = place.specs[0].id
+        site.gateway.save_learned_state()
+        site.until(lambda: not site.gateway.store.busy and not site.gateway.store.waiting)
+        restart(site, tmp_path)
+        router = site.core.router
+        reader = site.specs[0].id
         assert router.kind_read_cost[0] == before["kinds"][0][2:4] and router.answer_us[1] == before["groups"][1][1]
         assert router.servers[reader].read_tokens == next(r[4] for r in before["boxes"] if r[0] == reader)
-        assert status(call(place, key="four", text="four").until()) == 200
+        assert status(call(site, key="four", text="four").until()) == 200
         for value in (
             b"\xc1",
             records.msgspec.msgpack.encode([9, 0, {}]),
             records.learned_state({"kinds": [["rd", 1]]}, 0),
             records.learned_state(
-                {"groups": [], "kinds": [["rd", "read", -1.0, 1.0, 1.0]], "boxes": []}, place.core.memory.unix_ms()
+                {"groups": [], "kinds": [["rd", "read", -1.0, 1.0, 1.0]], "boxes": []}, site.core.memory.unix_ms()
             ),
         ):
-            place.gateway.store.put([(records.LEARNED_STATE_KEY, value, 0)], lambda why: None)
-            place.until(lambda: not place.gateway.store.busy and not place.gateway.store.waiting)
-            restart(place, tmp_path)
-            assert place.core.router.kind_read_cost[0] == [0.0, 0.0]
-            assert status(call(place, key=value.hex()[:9] + "x", text="five").until()) == 200
+            site.gateway.store.put([(records.LEARNED_STATE_KEY, value, 0)], lambda why: None)
+            site.until(lambda: not site.gateway.store.busy and not site.gateway.store.waiting)
+            restart(site, tmp_path)
+            assert site.core.router.kind_read_cost[0] == [0.0, 0.0]
+            assert status(call(site, key=value.hex()[:9] + "x", text="five").until()) == 200
