--- a/lapiswing/policy.py
+++ b/lapiswing/policy.py
@@ -302,7 +302,7 @@
                     and (
                         max(0.25 * (req.due_us - req.arrived_us), 3 * usual_us)
                         < waited_us
-                        < min(req.due_us, req.expires_us) - self.now
+                        < min(req.due_us, req.expires) - self.now
                     )
                 )
                 if late:
@@ -437,7 +437,7 @@
 
     def read(self, req):
         """Sends the request to a prefill server, or rejects it where its TTFT target can't be met."""
-        if len(req.attempts) >= self.max_attempts - 1 or self.now + self.margin_us >= req.expires_us:
+        if len(req.attempts) >= self.max_attempts - 1 or self.now + self.margin_us >= req.expires:
             return self.give_up(req)
         # One draw for both roles, so that a request admitted to a cold reader also has a cold writer.
         draw = self.random() if self.now < self.cold_until and not req.attempts and not req.client_retry else 1.0
@@ -450,7 +450,7 @@
             self.recent_reqs = max(0.0, self.recent_reqs - 1)
             return self.give_up(req)
         # Its client may leave before the target: work that takes longer would be wasted.
-        patience_us = req.expires_us - self.now - self.margin_us
+        patience_us = req.expires - self.now - self.margin_us
         allowed_us = min((req.due_us - self.now) * (0.5 if req.over_quota else 0.8), patience_us)
         # Never shed while less than this gateway's part waits: else estimates made under congestion would never be corrected.
         waits_us = [self.median_wait_us.get(w.id, 0.0) for w in writers if not reader.writes] or [0.0]
@@ -463,7 +463,7 @@
         late = full or ready_us + wait_us > allowed_us and (reader.tokens_in_flight > 0 or has_part or wait_us > allowed_us / 2)
         # Clients that leave before the target and come back at once would fill all readers. Drawback: a tenant whose traffic
         # goes to few gateways only gets less than its quota.
-        late = late or req.over_quota and req.expires_us < req.due_us and not req.attempts
+        late = late or req.over_quota and req.expires < req.due_us and not req.attempts
         self.set_mode("shedding", late, "read %d ms, wait %d of %d" % (ready_us / MS, wait_us / MS, allowed_us / MS))
         if late and self.may_reject(req):
             return self.give_up(req, int(ready_us + wait_us - allowed_us / 2))
@@ -625,7 +625,7 @@
         server.waiting[req.id, number] = (self.now, stage == "write")
         if server.ejected:
             server.next_probe_us = self.now + self.probe_interval_us
-        self.out.forward(req.id, server.id, max(MS, req.expires_us - self.now - self.margin_us), connect_us)
+        self.out.forward(req.id, server.id, max(MS, req.expires - self.now - self.margin_us), connect_us)
         if stage == "write" and req.holder is not None:
             self.schedule_claim_check(req, number)
 
@@ -734,8 +734,8 @@
                 self.successful_reads += 1
                 self.record_read(server, latency_us, tokens_ahead)
         # The attempt was sent, so it may hold a state that has to be released in time.
-        if code not in NEVER_SENT and (stage == "read" and code != "full" or req.connect_by_us < req.expires_us):
-            req.connect_by_us = min(req.expires_us, self.now + self.connect_us)
+        if code not in NEVER_SENT and (stage == "read" and code != "full" or req.connect_by_us < req.expires):
+            req.connect_by_us = min(req.expires, self.now + self.connect_us)
         if code not in ("timed_out", "cancelled", "no_way", "moot"):
             server.last_response_us = self.now
             server.newest_answered_us = max(server.newest_answered_us, sent_us if code == "read" else 0)
@@ -776,7 +776,7 @@
 
     def next_step(self, req, server, stage, code, remark):
         """What follows the outcome of the last open attempt: the write, a retry or the end."""
-        if code == "moot" or req.begun_attempt is not None or self.now + self.margin_us >= req.expires_us:
+        if code == "moot" or req.begun_attempt is not None or self.now + self.margin_us >= req.expires:
             return self.give_up(req)
         if code == "read":
             return self.write(req)
--- a/lapiswing/routing/state.py
+++ b/lapiswing/routing/state.py
@@ -40,7 +40,7 @@
         )  # class_index: of its request class
         # due_us: by when the first token is due. connect_by_us: by when an attempt's connection has to be up, so that a held
         # state is released in time.
-        self.arrived_us, self.due_us, self.expires_us, self.connect_by_us = now_us, due_us, expires_us, expires_us
+        self.arrived_us, self.due_us, self.expires, self.connect_by_us = now_us, due_us, expires_us, expires_us
         # Each attempt: [server, stage, sent, whether it is open, uncached prompt tokens, prompt tokens queued up to its end].
         self.attempts, self.open_attempts, self.tried = [], 0, set()
         self.held_us = now_us  # since when the holder holds its state
