--- a/lapiswing/store/__init__.py
+++ b/lapiswing/store/__init__.py
@@ -1,11 +1,12 @@
-"""A small embedded store: keys and values in an append-only log. docs/store-format.md has the files and the recovery.
+"""A small embedded key-value store on an append-only log. docs/store-format.md describes the file formats and recovery.
 
-format    bytes <-> frames, segment heads, manifest, hints; pure
-index     what the log says: keys, expiry, order, snapshots; pure
-files     the file layer, and one that loses what was not synced
-engine    opening, group commit, compaction
-memory    the same face without a disk
-tools     verify, dump, compact, repair"""
+format    encoding and decoding of frames, segment headers, manifest and hint files; no I/O
+index     in-memory index of the log: keys, expiry, order, snapshots; no I/O
+files     file system access
+engine    opening and recovery, group commit, compaction
+memory    a store with the same interface that keeps everything in memory
+tools     verify, dump, compact and repair a store that is not open
+work      runs blocking jobs inline or on a worker thread"""
 
 from lapiswing.store.engine import Engine, StoreError
 from lapiswing.store.files import Files
--- a/lapiswing/store/files.py
+++ b/lapiswing/store/files.py
@@ -1,10 +1,12 @@
-"""The file layer: all that the store asks of a file system. Paths are names within one folder. Every call may raise OSError."""
+"""File system access of the store. File names are relative to one folder; every call may raise OSError."""
 
 import fcntl
 import os
 
 
 class Files:
+    """The files of one folder, which is created if needed."""
+
     def __init__(self, folder):
         self.folder = str(folder)
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
@@ -13,7 +15,7 @@
         return os.path.join(self.folder, name)
 
     def lock(self, name):
-        """-> what holds the lock while it is kept. Raises BlockingIOError where another process has it."""
+        """Returns the open lock file; closing it releases the lock. Raises BlockingIOError if another process holds it."""
         file = open(self.path(name), "a")
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -30,20 +32,21 @@
             return file.read()
 
     def open(self, name, create=False):
-        """-> a descriptor to read, and append through `write`."""
+        """Returns a descriptor for reading and writing."""
         return os.open(self.path(name), os.O_RDWR | (os.O_CREAT | os.O_EXCL if create else 0), 0o600)
 
-    def write(self, fd, at, data):
-        """All of it, at an offset: a short write goes on where it ended, and a full disk is told by the next part."""
+    def write(self, fd, offset, data):
+        """Writes all data at an offset. A short write is continued; if the disk is full, the continuation raises OSError."""
         view = memoryview(data)
         while view:
-            n = os.pwrite(fd, view, at)
-            view, at = view[n:], at + n
+            written = os.pwrite(fd, view, offset)
+            view, offset = view[written:], offset + written
 
-    def read_at(self, fd, at, size):
-        out = os.pread(fd, size, at)
+    def read_at(self, fd, offset, size):
+        """Reads exactly `size` bytes."""
+        out = os.pread(fd, size, offset)
         if len(out) != size:
-            raise OSError(5, "a file became shorter")
+            raise OSError(5, "unexpected end of file")
         return out
 
     def sync(self, fd):
@@ -56,7 +59,7 @@
         os.close(fd)
 
     def put(self, name, data):
-        """A whole small file in one step: there, or as before."""
+        """Replaces a small file atomically and durably."""
         new = name + ".new"
         fd = os.open(self.path(new), os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
@@ -68,6 +71,7 @@
         self.sync_folder()
 
     def sync_folder(self):
+        """Makes creations, renames and removals of files durable."""
         fd = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(fd)
--- a/lapiswing/store/format.py
+++ b/lapiswing/store/format.py
@@ -1,16 +1,16 @@
-"""The bytes of the store's files. Pure.
+"""Encoding and decoding of the store's files. No I/O.
 
-Segment  head of 16 bytes: `LWSG`, version u16, 0 u16, number u32, xxh32 of the 12 before; then frames
-Frame    `LWr1`, length u32 of the body, seq u64, durable u64, check u64; then the body
-         body: MessagePack, [unix ms, [[key, value or nil, expires unix ms or 0], ...]]; one batch, whole or not at all
-         check: xxh3_64 of the 20 bytes from length to durable and of the body, seeded with the segment's number
+Segment  header of 16 bytes: `LWSG`, version u16, 0 u16, number u32, xxh32 of the preceding 12 bytes; then frames
+Frame    header: `LWr1`, length u32 of the body, seq u64, durable u64, checksum u64; then the body
+         body: MessagePack, [unix ms, [[key, value or nil, expiry in unix ms or 0], ...]]; one batch, applied atomically
+         checksum: xxh3_64 of the 20 bytes from length to durable and of the body, seeded with the segment's number
          durable: all frames up to this seq were on the disk before this one was written
 Manifest `LWMF`, version u16, 0 u16, xxh3_64 of the rest, MessagePack [generation, [[number, length or nil], ...], next seq];
-         the last segment is the one written to (length nil)
-Hint     `LWHT`, version u16, 0 u16, xxh3_64 of the rest, MessagePack [number, length, last seq, unix ms, [[key, at, size, expires,
-         inline value or nil], ...]] of a segment that is closed
+         the last segment is the active one (length nil)
+Hint     `LWHT`, version u16, 0 u16, xxh3_64 of the rest, MessagePack [number, length, last seq, unix ms, [[key, offset of the
+         frame or -1 for a deletion, size, expiry, inline value or nil], ...]] of a closed segment
 
-All numbers big endian. Sources: none; the format is this project's own."""
+All numbers are big endian. The format is specific to this project."""
 
 import struct
 from typing import NamedTuple
@@ -19,132 +19,138 @@
 import xxhash
 
 VERSION = 1
-HEAD = struct.Struct(">4sHHII")
-FRAME = struct.Struct(">4sIQQQ")
-FIELDS = struct.Struct(">IQQ")
-OUTER = struct.Struct(">4sHHQ")
-MARK, SEGMENT, MANIFEST, HINT = b"LWr1", b"LWSG", b"LWMF", b"LWHT"
-MOST_BODY = 16 << 20
-INLINE = 256  # values up to this size are kept in memory
+SEGMENT_HEADER = struct.Struct(">4sHHII")
+FRAME_HEADER = struct.Struct(">4sIQQQ")
+FRAME_FIELDS = struct.Struct(">IQQ")
+FILE_HEADER = struct.Struct(">4sHHQ")
+FRAME_MAGIC, SEGMENT_MAGIC, MANIFEST_MAGIC, HINT_MAGIC = b"LWr1", b"LWSG", b"LWMF", b"LWHT"
+MAX_BODY_BYTES = 16 << 20
+INLINE_VALUE_BYTES = 256  # values up to this size are kept in the index and in hint files
 encode, decode = msgspec.msgpack.encode, msgspec.msgpack.decode
 
 
 class Damaged(Exception):
-    """Bytes that can't be what was written."""
+    """The bytes read are not what was written."""
 
 
 class NewerVersion(Damaged):
-    """Written by a later program."""
+    """Written by a newer version of the program."""
 
 
 class Frame(NamedTuple):
-    at: int  # of the frame in its segment
+    """A decoded frame: one batch."""
+
+    at: int  # offset of the frame in its segment
     end: int
     seq: int
     durable: int
     unix_ms: int
-    items: list  # [key, value or None, expires]
+    items: list  # (key, value or None, expiry in unix ms or 0)
     body_at: int
 
 
-def segment_head(number):
-    head = HEAD.pack(SEGMENT, VERSION, 0, number, 0)[:12]
-    return head + struct.pack(">I", xxhash.xxh32_intdigest(head))
+def encode_segment_header(number):
+    """Header of a segment file."""
+    header = SEGMENT_HEADER.pack(SEGMENT_MAGIC, VERSION, 0, number, 0)[:12]
+    return header + struct.pack(">I", xxhash.xxh32_intdigest(header))
 
 
-def read_segment_head(data, number):
-    """Raises Damaged."""
-    if len(data) < HEAD.size:
-        raise Damaged("the head is cut")
-    mark, version, _, found, check = HEAD.unpack(data[: HEAD.size])
-    if mark != SEGMENT or xxhash.xxh32_intdigest(data[:12]) != check:
-        raise Damaged("damaged head")
+def check_segment_header(data, number):
+    """Checks the header of a segment file. Raises Damaged."""
+    if len(data) < SEGMENT_HEADER.size:
+        raise Damaged("the header is incomplete")
+    magic, version, _, found_number, checksum = SEGMENT_HEADER.unpack(data[: SEGMENT_HEADER.size])
+    if magic != SEGMENT_MAGIC or xxhash.xxh32_intdigest(data[:12]) != checksum:
+        raise Damaged("damaged header")
     if version > VERSION:
-        raise NewerVersion(f"version {version}; this program knows {VERSION}")
-    if found != number:
-        raise Damaged(f"it says it is segment {found}")
+        raise NewerVersion(f"format version {version}; this program reads up to {VERSION}")
+    if found_number != number:
+        raise Damaged(f"the header belongs to segment {found_number}")
 
 
-def check_of(fields, body, number):
+def frame_checksum(fields, body, number):
+    """Checksum over the header fields and the body of a frame."""
     return xxhash.xxh3_64_intdigest(fields + body, seed=number)
 
 
-def frame(number, seq, durable, unix_ms, items):
+def encode_frame(number, seq, durable, unix_ms, items):
+    """A batch as a frame of segment `number`. Raises ValueError if it is too large."""
     body = encode((unix_ms, items))
-    if len(body) > MOST_BODY:
-        raise ValueError(f"a batch of {len(body)} bytes")
-    fields = FIELDS.pack(len(body), seq, durable)
-    return MARK + fields + struct.pack(">Q", check_of(fields, body, number)) + body
-
-
-def read_frame(data, at, number):
-    """The frame at an offset of a segment's bytes. Raises Damaged where there is none that is whole."""
-    if len(data) - at < FRAME.size:
-        raise Damaged("cut")
-    mark, length, seq, durable, check = FRAME.unpack_from(data, at)
-    body_at, end = at + FRAME.size, at + FRAME.size + length
-    if mark != MARK or length > MOST_BODY or end > len(data):
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"a batch of {len(body)} bytes is too large")
+    fields = FRAME_FIELDS.pack(len(body), seq, durable)
+    return FRAME_MAGIC + fields + struct.pack(">Q", frame_checksum(fields, body, number)) + body
+
+
+def read_frame(data, offset, number):
+    """Decodes the frame at an offset of a segment. Raises Damaged if there is no complete frame."""
+    if len(data) - offset < FRAME_HEADER.size:
+        raise Damaged("incomplete frame header")
+    magic, length, seq, durable, checksum = FRAME_HEADER.unpack_from(data, offset)
+    body_at, end = offset + FRAME_HEADER.size, offset + FRAME_HEADER.size + length
+    if magic != FRAME_MAGIC or length > MAX_BODY_BYTES or end > len(data):
         raise Damaged("no frame")
     body = bytes(data[body_at:end])
-    if check_of(bytes(data[at + 4 : at + 24]), body, number) != check:
+    if frame_checksum(bytes(data[offset + 4 : offset + 24]), body, number) != checksum:
         raise Damaged("damaged frame")
     try:
         unix_ms, items = decode(body, type=tuple[int, list[tuple[bytes, bytes | None, int]]])
     except (msgspec.DecodeError, ValueError) as problem:
         raise Damaged(f"malformed frame: {problem}") from None
-    return Frame(at, end, seq, durable, unix_ms, items, body_at)
+    return Frame(offset, end, seq, durable, unix_ms, items, body_at)
 
 
-def frames(data, number, last, at=HEAD.size):
-    """Yields frames up to the first that is not whole; then says how it ended: (offset, claimed). `last`: the seq before this
-    segment's first, 0 where it is not known. `claimed` is whether a later frame proves that what is missing had been on the disk:
-    damage, and no torn end."""
+def read_frames(data, number, last, offset=SEGMENT_HEADER.size):
+    """Yields the frames up to the first one that can't be decoded, then a pair (offset, durable frame lost). The second element
+    is True if a later frame proves that the missing ones were durable, which means damage rather than a torn end. `last`: the
+    seq before this segment's first frame, 0 if unknown."""
     seq = last or None
-    while at < len(data):
+    while offset < len(data):
         try:
-            found = read_frame(data, at, number)
-            if seq is not None and found.seq != seq + 1:
-                raise Damaged("out of order")
+            frame = read_frame(data, offset, number)
+            if seq is not None and frame.seq != seq + 1:
+                raise Damaged("sequence number out of order")
         except Damaged:
             break
-        seq, at = found.seq, found.end
-        yield found
-    yield at, claimed(data, at, number, seq or 0)
+        seq, offset = frame.seq, frame.end
+        yield frame
+    yield offset, durable_frame_follows(data, offset, number, seq or 0)
 
 
-def claimed(data, at, number, seq):
-    """Looks behind a broken place for a frame that says that more than `seq` was durable when it was written."""
-    look = at + 1
+def durable_frame_follows(data, offset, number, seq):
+    """Whether a frame after an undecodable one states that more than `seq` was durable when it was written."""
+    position = offset + 1
     while True:
-        look = data.find(MARK, look)
-        if look < 0:
+        position = data.find(FRAME_MAGIC, position)
+        if position < 0:
             return False
         try:
-            found = read_frame(data, look, number)
-            if found.durable > seq:
+            frame = read_frame(data, position, number)
+            if frame.durable > seq:
                 return True
         except Damaged:
             pass
-        look += 1
+        position += 1
 
 
-def outer(mark, value):
+def encode_file(magic, value):
+    """A manifest or hint file: header and MessagePack body."""
     body = encode(value)
-    return OUTER.pack(mark, VERSION, 0, xxhash.xxh3_64_intdigest(body)) + body
+    return FILE_HEADER.pack(magic, VERSION, 0, xxhash.xxh3_64_intdigest(body)) + body
 
 
-def read_outer(data, mark, kind):
-    """Raises Damaged."""
-    if len(data) < OUTER.size:
-        raise Damaged("cut")
-    found, version, _, check = OUTER.unpack(data[: OUTER.size])
-    body = data[OUTER.size :]
-    if found != mark:
-        raise Damaged("another kind of file")
+def decode_file(data, magic, kind):
+    """Decodes a manifest or hint file into a `kind`. Raises Damaged."""
+    if len(data) < FILE_HEADER.size:
+        raise Damaged("the header is incomplete")
+    found_magic, version, _, checksum = FILE_HEADER.unpack(data[: FILE_HEADER.size])
+    body = data[FILE_HEADER.size :]
+    if found_magic != magic:
+        raise Damaged("not a file of this kind")
     if version > VERSION:
-        raise NewerVersion(f"version {version}; this program knows {VERSION}")
-    if xxhash.xxh3_64_intdigest(body) != check:
-        raise Damaged("damaged")
+        raise NewerVersion(f"format version {version}; this program reads up to {VERSION}")
+    if xxhash.xxh3_64_intdigest(body) != checksum:
+        raise Damaged("wrong checksum")
     try:
         return decode(body, type=kind)
     except (msgspec.DecodeError, ValueError) as problem:
@@ -152,12 +158,16 @@
 
 
 class Manifest(msgspec.Struct, array_like=True):
+    """The segments of a store, oldest first: (number, length), with length None for the active one."""
+
     generation: int
     segments: list[tuple[int, int | None]]
     next_seq: int
 
 
 class Hint(msgspec.Struct, array_like=True):
+    """The last operation on each key of a closed segment: (key, offset or -1, size, expiry, inline value)."""
+
     number: int
     length: int
     last_seq: int
--- a/lapiswing/store/index.py
+++ b/lapiswing/store/index.py
@@ -1,100 +1,111 @@
-"""What the log says. Pure: places in files are numbers here.
+"""In-memory index of the log. No I/O.
 
-Entries are (segment, at, size, expires, value): where the frame's body begins and its size, and the value itself where it is small;
-`at` is None while it is only on its way to the disk, and the value is then here whatever its size."""
+Entries are (segment, offset, size, expires, value): the offset of the frame in its segment, the size of the value, its expiry in
+unix ms or 0, and the value itself if it is small. While an entry is being written, `offset` is None and the value is kept
+whatever its size."""
 
 from sortedcontainers import SortedDict
 
 
 class Index:
+    """Maps keys to entries, in key order, and accounts for the bytes they take up."""
+
     def __init__(self):
         self.keys, self.snapshots = SortedDict(), []
-        self.live = {}  # segment -> bytes of entries that count
+        self.live_bytes = {}  # segment -> bytes of entries that the index refers to
         self.bytes = 0
 
     def begin_load(self):
-        """While a store is opened, nobody asks for an order: it is made once, at the end."""
+        """Uses a plain dict while the store is opened; the keys are sorted once, in `end_load`."""
         self.keys = {}
 
     def end_load(self):
+        """All segments are loaded: sorts the keys."""
         self.keys = SortedDict(self.keys)
 
     def cost(self, key, size):
+        """Approximate size of an entry in the log, in bytes."""
         return len(key) + size + 16
 
-    def put(self, key, segment, at, size, expires, value):
+    def put(self, key, segment, offset, size, expires, value):
+        """Sets the entry of a key."""
         old = self.keys.get(key)
-        self.note(key, old)
+        self.keep_for_snapshots(key, old)
         cost = self.cost(key, size)
         if old is not None:
-            self.forget(key, old)
-        self.keys[key] = (segment, at, size, expires, value)
-        self.live[segment] = self.live.get(segment, 0) + cost
+            self.subtract_entry(key, old)
+        self.keys[key] = (segment, offset, size, expires, value)
+        self.live_bytes[segment] = self.live_bytes.get(segment, 0) + cost
         self.bytes += cost
 
     def remove(self, key):
+        """Removes a key, if it is there."""
         old = self.keys.pop(key, None)
         if old is not None:
-            self.note(key, old)
-            self.forget(key, old)
+            self.keep_for_snapshots(key, old)
+            self.subtract_entry(key, old)
 
-    def forget(self, key, old):
+    def subtract_entry(self, key, old):
+        """Removes an entry from the byte counts."""
         cost = self.cost(key, old[2])
-        self.live[old[0]] -= cost
+        self.live_bytes[old[0]] -= cost
         self.bytes -= cost
 
-    def note(self, key, old):
-        """What a snapshot saw before it changes."""
+    def keep_for_snapshots(self, key, old):
+        """Saves the previous entry of a key for the open snapshots."""
         for snapshot in self.snapshots:
-            snapshot.old.setdefault(key, old)
+            snapshot.saved.setdefault(key, old)
 
-    def settle(self, key, entry, at, value):
-        """What was on its way is on the disk."""
+    def set_location(self, key, entry, offset, value):
+        """An entry has been written: sets its offset, unless the key was changed meanwhile."""
         if self.keys.get(key) is entry:
-            self.keys[key] = (entry[0], at, entry[2], entry[3], value)
+            self.keys[key] = (entry[0], offset, entry[2], entry[3], value)
 
     def get(self, key, now_ms):
+        """The entry of a key, or None if there is none or it has expired."""
         entry = self.keys.get(key)
         return None if entry is None or 0 < entry[3] <= now_ms else entry
 
     def range(self, start, end, now_ms):
-        """Keys from `start` up to, not including, `end`, in order."""
+        """Yields (key, entry) in key order from `start` to `end`, `end` excluded."""
         for key in list(self.keys.irange(start, end, (True, False))):
             entry = self.get(key, now_ms)
             if entry is not None:
                 yield key, entry
 
-    def expired(self, now_ms, after, most):
-        """-> (keys that are over, the last key looked at or None at the end)."""
-        out, seen, last = [], 0, None
+    def expired(self, now_ms, after, max_keys):
+        """Looks for expired keys among the next `max_keys` keys after `after`. Returns (expired keys, last key looked at, or None
+        at the end)."""
+        expired_keys, seen, last = [], 0, None
         for key in self.keys.irange(after, None, (False, True)) if after is not None else self.keys:
             seen += 1
             if 0 < self.keys[key][3] <= now_ms:
-                out.append(key)
-            if seen >= most:
+                expired_keys.append(key)
+            if seen >= max_keys:
                 last = key
                 break
-        return out, last
+        return expired_keys, last
 
     def snapshot(self):
+        """A view of the present entries; must be closed."""
         taken = Snapshot(self)
         self.snapshots.append(taken)
         return taken
 
 
 class Snapshot:
-    """The index as it was: only what changes since is kept beside. `close` it."""
+    """The index at one point in time. Entries that have changed since are saved here. It must be closed."""
 
     def __init__(self, index):
-        self.index, self.old = index, {}
+        self.index, self.saved = index, {}
 
     def get(self, key, now_ms):
-        entry = self.old[key] if key in self.old else self.index.keys.get(key)
+        entry = self.saved[key] if key in self.saved else self.index.keys.get(key)
         return None if entry is None or 0 < entry[3] <= now_ms else entry
 
     def range(self, start, end, now_ms):
         keys = set(self.index.keys.irange(start, end, (True, False))) | {
-            k for k in self.old if k >= start and (end is None or k < end)
+            k for k in self.saved if k >= start and (end is None or k < end)
         }
         for key in sorted(keys):
             entry = self.get(key, now_ms)
--- a/lapiswing/store/tools.py
+++ b/lapiswing/store/tools.py
@@ -1,37 +1,51 @@
-"""Looking at a store that no program has open, and mending one. Nothing here guesses: what can't be read is told, or, by `repair`,
-left out with everything that came after it in its segment."""
+"""Inspection and repair of a store that no process has open. Data that can't be read is reported or, by `repair`, left out
+together with everything after it; nothing is reconstructed."""
 
 import os
 from typing import NamedTuple
 
-from lapiswing.store.engine import Engine, StoreError, hint_name, segment_name, take_lock
+from lapiswing.store.engine import Engine, StoreError, acquire_lock, hint_name, segment_name
 from lapiswing.store.files import Files
-from lapiswing.store.format import HEAD, HINT, MANIFEST, Damaged, Hint, Manifest, frames, outer, read_outer, read_segment_head
+from lapiswing.store.format import (
+    HINT_MAGIC,
+    MANIFEST_MAGIC,
+    SEGMENT_HEADER,
+    Damaged,
+    Hint,
+    Manifest,
+    check_segment_header,
+    decode_file,
+    encode_file,
+    read_frames,
+)
 from lapiswing.store.work import InlineWorker
 
 
 class Finding(NamedTuple):
+    """A problem that `verify` has found in a file."""
+
     file: str
-    bad: bool  # False: a torn end, which the next start cuts off
+    bad: bool  # False: harmless, such as a torn end, which is cut off when the store is opened
     text: str
 
 
 def verify(folder):
-    """-> (findings, counts). Reads everything and changes nothing. Raises StoreError: locked, io."""
+    """Reads everything without changing anything. Returns (findings, counts). Raises StoreError of kind locked or io."""
     files = Files(folder)
-    lock = take_lock(files)
+    lock = acquire_lock(files)
     try:
-        return look(files)
+        return inspect_files(files)
     except OSError as problem:
         raise StoreError("io", problem.filename, problem.strerror or str(problem)) from None
     finally:
         lock.close()
 
 
-def look(files):
-    names, found, counts = set(files.names()), [], {"segments": 0, "frames": 0, "bytes": 0, "hints": 0, "last seq": 0}
+def inspect_files(files):
+    """The work of `verify`, with the lock held. Raises OSError."""
+    names, findings, counts = set(files.names()), [], {"segments": 0, "frames": 0, "bytes": 0, "hints": 0, "last seq": 0}
     try:
-        manifest = read_outer(files.read("MANIFEST"), MANIFEST, Manifest)
+        manifest = decode_file(files.read("MANIFEST"), MANIFEST_MAGIC, Manifest)
     except FileNotFoundError:
         return [Finding("MANIFEST", True, "is missing")], counts
     except Damaged as problem:
@@ -40,30 +54,30 @@
     for number, length in manifest.segments:
         name = segment_name(number)
         if name not in names:
-            found.append(Finding(name, True, "is missing"))
+            findings.append(Finding(name, True, "is missing"))
             continue
         data = files.read(name)
         counts["segments"] += 1
         counts["bytes"] += len(data)
         try:
-            read_segment_head(data, number)
+            check_segment_header(data, number)
         except Damaged as problem:
-            found.append(Finding(name, number != last or len(data) > HEAD.size, str(problem)))
+            findings.append(Finding(name, number != last or len(data) > SEGMENT_HEADER.size, str(problem)))
             continue
         data = data if number == last else data[:length]
         if number != last and len(data) < length:
-            found.append(Finding(name, True, f"{len(data)} bytes of {length}"))
-        for item in frames(data, number, seq):
+            findings.append(Finding(name, True, f"{len(data)} bytes of {length}"))
+        for item in read_frames(data, number, seq):
             if len(item) == 2:
-                end, claimed = item
+                end, durable_frame_lost = item
                 if end < len(data):
-                    bad = claimed or number != last
-                    found.append(
+                    bad = durable_frame_lost or number != last
+                    findings.append(
                         Finding(
                             name,
                             bad,
                             f"from byte {end} on "
-                            + ("what was on the disk can't be read" if bad else f"a torn end of {len(data) - end} bytes"),
+                            + ("data that was on the disk can't be read" if bad else f"a torn end of {len(data) - end} bytes"),
                         )
                     )
             else:
@@ -72,15 +86,15 @@
         if hint_name(number) in names:
             counts["hints"] += 1
             try:
-                read_outer(files.read(hint_name(number)), HINT, Hint)
+                decode_file(files.read(hint_name(number)), HINT_MAGIC, Hint)
             except Damaged as problem:
-                found.append(Finding(hint_name(number), False, f"{problem}; the segment is read instead"))
+                findings.append(Finding(hint_name(number), False, f"{problem}; the segment is read instead"))
     counts["last seq"] = seq
-    return found, counts
+    return findings, counts
 
 
 def dump(folder):
-    """Yields (key, value, expires unix ms) in order. Raises StoreError."""
+    """Yields (key, value, expiry in unix ms or 0) in key order. Raises StoreError."""
     engine = Engine(Files(folder), InlineWorker()).open()
     try:
         for key, entry in engine.index.range(b"", None, engine.now_ms()):
@@ -90,7 +104,8 @@
 
 
 def compact(folder):
-    """Rewrites until hardly anything is garbage. -> (bytes before, bytes after). Raises StoreError."""
+    """Deletes expired entries and compacts until at most a tenth of the log is garbage. Returns (bytes before, bytes after).
+    Raises StoreError."""
     engine = Engine(Files(folder), InlineWorker()).open()
     try:
         before = sum(engine.sizes.values())
@@ -106,60 +121,61 @@
         engine.close()
 
 
-def repair(folder, keep):
-    """Makes a store that can be opened out of what can be read, in order, up to the first byte that can't: later segments are left
-    out, as they may build on what is lost. What was there is kept in the folder `keep`. -> lines that tell what was left out."""
+def repair(folder, backup_folder):
+    """Makes a damaged store usable again: keeps everything up to the first byte that can't be read. Later segments are left out
+    because they may depend on the lost data. The original files are kept in the new folder `backup_folder`. Returns a line for
+    each part that was left out. Raises StoreError."""
     files = Files(folder)
-    lock = take_lock(files)
+    lock = acquire_lock(files)
     try:
-        os.makedirs(keep, exist_ok=False)
+        os.makedirs(backup_folder, exist_ok=False)
         logs = sorted(n for n in files.names() if n.endswith(".log") and n[:-4].isdigit())
-        wanted = None
+        listed = None
         try:
-            wanted = [segment_name(n) for n, _ in read_outer(files.read("MANIFEST"), MANIFEST, Manifest).segments]
+            listed = [segment_name(n) for n, _ in decode_file(files.read("MANIFEST"), MANIFEST_MAGIC, Manifest).segments]
         except (OSError, Damaged):
             pass
-        told, rows, seq = [], [], 0
-        for name in wanted or logs:
+        left_out, kept_segments, seq = [], [], 0
+        for name in listed or logs:
             if name not in logs:
-                told.append(f"{name}: is missing; nothing after it is taken")
+                left_out.append(f"{name}: is missing; nothing after it is kept")
                 break
-            data, number, end = files.read(name), int(name[:-4]), HEAD.size
+            data, number, end = files.read(name), int(name[:-4]), SEGMENT_HEADER.size
             try:
-                read_segment_head(data, number)
+                check_segment_header(data, number)
             except Damaged as problem:
-                told.append(f"{name}: {problem}; nothing from it on is taken")
+                left_out.append(f"{name}: {problem}; nothing from it on is kept")
                 break
-            for item in frames(data, number, seq):
+            for item in read_frames(data, number, seq):
                 if len(item) == 2:
                     end = item[0]
                 else:
                     seq = item.seq
-            rows.append((number, end))
+            kept_segments.append((number, end))
             if end < len(data):
-                told.append(
+                left_out.append(
                     f"{name}: cut at byte {end} of {len(data)}"
-                    + ("" if name == (wanted or logs)[-1] else "; nothing after it is taken")
+                    + ("" if name == (listed or logs)[-1] else "; nothing after it is kept")
                 )
                 break
         for name in files.names():
             if name != "LOCK":
-                os.link(files.path(name), os.path.join(keep, name))
-        taken = {segment_name(n) for n, _ in rows}
+                os.link(files.path(name), os.path.join(backup_folder, name))
+        kept_names = {segment_name(n) for n, _ in kept_segments}
         for name in files.names():
-            if name != "LOCK" and name not in taken and name != "MANIFEST":
+            if name != "LOCK" and name not in kept_names and name != "MANIFEST":
                 files.remove(name)
-        if not rows:
+        if not kept_segments:
             if "MANIFEST" in files.names():
                 files.remove("MANIFEST")
-            return told + ["nothing could be taken: the store begins anew"]
-        number, end = rows[-1]
+            return left_out + ["nothing could be read: the store starts empty"]
+        number, end = kept_segments[-1]
         data = files.read(segment_name(number))[:end]
-        files.put(segment_name(number), data)  # a copy: the kept one is another name of the same file
-        files.put("MANIFEST", outer(MANIFEST, Manifest(1, [*rows[:-1], (number, None)], seq + 1)))
-        return told
+        files.put(segment_name(number), data)  # a copy, because the kept file is a hard link to the same data
+        files.put("MANIFEST", encode_file(MANIFEST_MAGIC, Manifest(1, [*kept_segments[:-1], (number, None)], seq + 1)))
+        return left_out
     except FileExistsError:
-        raise StoreError("io", str(keep), "is there already") from None
+        raise StoreError("io", str(backup_folder), "already exists") from None
     except OSError as problem:
         raise StoreError("io", problem.filename, problem.strerror or str(problem)) from None
     finally:
--- a/lapiswing/store/work.py
+++ b/lapiswing/store/work.py
@@ -1,7 +1,7 @@
-"""Where what blocks is done: at once (tools, tests), or by one worker thread beside a loop.
+"""Runs blocking jobs: immediately on the calling thread (tools, tests), or on one worker thread beside an event loop.
 
-`submit(job, done)`: `job()` runs, then `done(result, problem)` is called, in the order of submission; `problem` is the OSError that it
-raised, or None. The worker's queue is bounded by its users: the store submits one job at a time."""
+`submit(job, done)` runs `job()` and then calls `done(result, problem)`, in the order of submission; `problem` is the OSError
+that the job raised, or None."""
 
 import queue
 import selectors
@@ -10,6 +10,8 @@
 
 
 class InlineWorker:
+    """Runs each job at once, on the calling thread."""
+
     def submit(self, job, done):
         try:
             result, problem = job(), None
@@ -22,13 +24,14 @@
 
 
 class Worker:
-    """One thread. It touches files only: nothing of the loop's, no state that the loop reads while a job runs."""
+    """Runs jobs on one thread and calls `done` on the loop. Jobs may only access files, and no state that the loop reads while
+    they run. The queue holds `max_jobs`; the store submits few at a time."""
 
-    def __init__(self, loop, most=64):
-        self.loop, self.jobs, self.results = loop, queue.Queue(most), queue.SimpleQueue()
-        self.near, self.far = socket.socketpair()
-        self.near.setblocking(False)
-        loop.watch(self.near, selectors.EVENT_READ, self.on_ready)
+    def __init__(self, loop, max_jobs=64):
+        self.loop, self.jobs, self.results = loop, queue.Queue(max_jobs), queue.SimpleQueue()
+        self.wake_receiver, self.wake_sender = socket.socketpair()
+        self.wake_receiver.setblocking(False)
+        loop.watch(self.wake_receiver, selectors.EVENT_READ, self.on_ready)
         self.thread = threading.Thread(target=self.run, name="disk", daemon=True)
         self.thread.start()
 
@@ -36,6 +39,7 @@
         self.jobs.put_nowait((job, done))
 
     def run(self):
+        """Body of the thread: runs jobs until `close`."""
         while True:
             job, done = self.jobs.get()
             if job is None:
@@ -44,17 +48,18 @@
                 result, problem = job(), None
             except OSError as error:
                 result, problem = None, error
-            except Exception as error:  # a fault in a job must not end the thread with others waiting
+            except Exception as error:  # a fault in one job must not end the thread while others wait
                 result, problem = None, OSError(5, f"{type(error).__name__}: {error}")
             self.results.put((done, result, problem))
             try:
-                self.far.send(b"x")
+                self.wake_sender.send(b"x")
             except OSError:
-                return  # closed
+                return  # the worker has been closed
 
     def on_ready(self, _mask):
+        """Called on the loop when jobs have ended: delivers their results."""
         try:
-            self.near.recv(4096)
+            self.wake_receiver.recv(4096)
         except OSError:
             return
         while not self.results.empty():
@@ -62,10 +67,10 @@
             self.loop.guard(None, done, result, problem)
 
     def close(self):
-        """Waits for what was submitted."""
+        """Waits for the submitted jobs, at most 10 s, and ends the thread."""
         self.jobs.put((None, None))
         self.thread.join(10)
         self.on_ready(0)
-        self.loop.watch(self.near, 0, None)
-        self.near.close()
-        self.far.close()
+        self.loop.watch(self.wake_receiver, 0, None)
+        self.wake_receiver.close()
+        self.wake_sender.close()
--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -1,8 +1,8 @@
-"""The stores that have to keep the contract. A further one is a line in STORES.
+"""The store implementations that the contract tests run against. To add one, list it in STORES.
 
-Each is a function of a folder -> Place: `open(now=None)` gives a store, opened on what the earlier one left;
-`cut()` takes the power, as far as the store knows of power; `fill()` makes the disk full and `room()` ends
-that, where it has a disk."""
+Each is a class made with a folder: `open()` returns a store opened on the contents that the previous one left; `cut()` simulates
+a power cut, `fill()` makes the store run out of space and `room()` ends that. An implementation without one of these methods is
+left out of the tests that need it."""
 
 import random
 
@@ -12,20 +12,24 @@
 
 
 class Clock:
+    """Wall clock in ms that tests set."""
+
     ms = 1_000_000
 
     def __call__(self):
         return self.ms
 
 
-class Place:
-    lasts = True  # what was acknowledged is there after `close` and `open`
+class StoreUnderTest:
+    is_durable = True  # acknowledged writes are found after `close` and `open`
 
     def __init__(self):
         self.now, self.full = Clock(), False
 
 
-class OnFiles(Place):
+class OnFiles(StoreUnderTest):
+    """An engine on real files."""
+
     def __init__(self, folder):
         super().__init__()
         self.folder = folder
@@ -34,8 +38,8 @@
         return Engine(Files(self.folder), InlineWorker(), self.now, segment_bytes=900).open()
 
 
-class OnFailing(Place):
-    """Files whose power can be cut and whose disk can be full."""
+class OnSimulatedFiles(StoreUnderTest):
+    """An engine on simulated files, whose power can be cut and whose disk can fill up."""
 
     def __init__(self, folder):
         super().__init__()
@@ -59,14 +63,16 @@
         self.now.ms += 5000
 
 
-class InMemory(Place):
-    lasts = False
+class InMemory(StoreUnderTest):
+    """The store without a disk."""
+
+    is_durable = False
 
     def __init__(self, folder):
         super().__init__()
 
     def open(self):
-        self.store = Memory(self.now, most_bytes=20_000).open()
+        self.store = Memory(self.now, max_bytes=20_000).open()
         return self.store
 
     def fill(self):
@@ -76,4 +82,4 @@
         self.store.put([(b"~big", None, 0)])
 
 
-STORES = [OnFiles, OnFailing, InMemory]
+STORES = [OnFiles, OnSimulatedFiles, InMemory]
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -1,12 +1,12 @@
-"""What a caller may rely on, of every store."""
+"""Contract tests: the behaviour that callers may rely on in every store implementation."""
 
 import copy
 import random
 
 import pytest
+
 from contracts import those
 from contracts.stores import STORES
-
 from lapiswing.store import StoreError
 
 
@@ -42,8 +42,8 @@
 def test_reads_say_what_was_put_last_in_order(place):
     store, model = place.open(), {}
     for items in steps(1):
-        told = []
-        assert store.put(items, told.append) and told == [None]
+        reported = []
+        assert store.put(items, reported.append) and reported == [None]
         apply(model, items)
         assert dict(store.range()) == model and all(store.get(k) == v for k, v in model.items())
     assert list(store.range()) == sorted(model.items())
@@ -53,11 +53,11 @@
 
 
 def test_a_batch_is_told_once_and_in_order(place):
-    store, told = place.open(), []
+    store, reported = place.open(), []
     for i in range(20):
-        store.put([(b"k", b"%d" % i, 0)], lambda why, i=i: told.append((i, why)))
+        store.put([(b"k", b"%d" % i, 0)], lambda why, i=i: reported.append((i, why)))
     store.close()
-    assert told == [(i, None) for i in range(20)]
+    assert reported == [(i, None) for i in range(20)]
 
 
 def test_a_snapshot_stays_while_all_changes(place):
@@ -81,7 +81,7 @@
     assert store.get(b"a") is None and dict(store.range()) == {b"b": b"2"}
     for _ in store.expire():
         pass
-    place.now.ms -= 1000  # a clock that steps back brings nothing back
+    place.now.ms -= 1000  # expired entries stay expired when the clock is set back
     assert store.get(b"a") is None and dict(store.range()) == {b"b": b"2"}
     store.close()
 
@@ -104,12 +104,12 @@
     store, model = place.open(), {}
     put_all(store, model, steps(5, 10))
     place.fill()
-    before, told = dict(store.range()), []
-    store.put([(b"k1", b"y" * 500, 0), (b"new", b"y" * 500, 0)], told.append)
-    assert len(told) == 1 and told[0]  # with a reason
+    before, reported = dict(store.range()), []
+    store.put([(b"k1", b"y" * 500, 0), (b"new", b"y" * 500, 0)], reported.append)
+    assert len(reported) == 1 and reported[0]  # refused with a reason
     assert dict(store.range()) == before
     place.room()
-    assert store.put([(b"later", b"1", 0)], told.append) and told[1] is None
+    assert store.put([(b"later", b"1", 0)], reported.append) and reported[1] is None
     assert {k: v for k, v in store.range() if not k.startswith(b"~")} == {**model, b"later": b"1"}
     store.close()
 
@@ -118,15 +118,15 @@
     store = place.open()
     store.put([(b"a", b"1", 0)])
     store.close()
-    told = []
-    assert not store.put([(b"b", b"1", 0)], told.append) and told and told[0]
+    reported = []
+    assert not store.put([(b"b", b"1", 0)], reported.append) and reported and reported[0]
     store.close()
 
 
 def test_a_second_opening_of_what_is_open_is_refused(place):
     store = place.open()
     with pytest.raises(StoreError) as problem:
-        (place.open if place.lasts else store.open)()
+        (place.open if place.is_durable else store.open)()
     assert problem.value.kind == "locked" and problem.value.advice
     store.close()
 
@@ -136,13 +136,13 @@
     put_all(store, model, steps(6, 60))
     store.close()
     again = place.open()
-    assert dict(again.range()) == (model if place.lasts else {})
+    assert dict(again.range()) == (model if place.is_durable else {})
     again.close()
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_after_a_cut_the_acknowledged_is_there_and_the_rest_whole_or_absent(powered, seed):
-    """The power goes at any operation of the disk, in the middle of a batch."""
+    """Power cut at a random disk operation, also in the middle of a batch."""
     place = powered
     rng = random.Random(seed)
     store, model, last = place.open(), {}, None
@@ -158,9 +158,9 @@
     place.files.fail = fail
     try:
         for items in steps(seed, 200):
-            told, last = [], items
-            store.put(items, told.append)
-            assert told == [None]
+            reported, last = [], items
+            store.put(items, reported.append)
+            assert reported == [None]
             apply(model, items)
     except PowerCut:
         pass
--- a/tests/simfiles.py
+++ b/tests/simfiles.py
@@ -1,21 +1,26 @@
-"""A file layer in memory that may lose what was not synced: writes in any subset and torn in sectors, renames, removals and new
-names whose folder was not synced."""
+"""An in-memory replacement of the store's file access that simulates a power cut: unsynced writes are lost in any subset and torn
+at sector boundaries; renames, removals and creations are lost unless their folder was synced."""
 
-SECTOR = 64
+SECTOR = 64  # bytes that are written atomically
 
 
 class File:
+    """A file: its present contents, its durable contents and the writes since the last sync."""
+
     def __init__(self):
-        self.now, self.safe, self.pending = bytearray(), bytearray(), []  # pending: (at, data) or ('cut', size)
+        self.now, self.safe, self.pending = bytearray(), bytearray(), []  # pending: (offset, data) or ("cut", size)
 
 
-def put_into(buffer, at, data):
-    if len(buffer) < at:
-        buffer.extend(b"\0" * (at - len(buffer)))
-    buffer[at : at + len(data)] = data
+def put_into(buffer, offset, data):
+    """Writes data at an offset, zero-filling a gap."""
+    if len(buffer) < offset:
+        buffer.extend(b"\0" * (offset - len(buffer)))
+    buffer[offset : offset + len(data)] = data
 
 
 class SimFiles:
+    """Has the interface of lapiswing.store.Files. `operations` counts the calls that change something."""
+
     def __init__(self):
         self.files, self.safe_names, self.fds, self.locked = {}, {}, {}, False
         self.next_fd, self.operations, self.fail = 3, 0, None  # fail(operation, name): may raise OSError
@@ -27,7 +32,7 @@
 
     def lock(self, name):
         if self.locked:
-            raise BlockingIOError(11, "held")
+            raise BlockingIOError(11, "locked")
         self.locked = True
         owner = self
 
@@ -49,7 +54,7 @@
         self.step("open", name)
         if create:
             if name in self.files:
-                raise FileExistsError(17, "there", name)
+                raise FileExistsError(17, "File exists", name)
             self.files[name] = File()
         elif name not in self.files:
             raise FileNotFoundError(2, "No such file", name)
@@ -57,14 +62,14 @@
         self.fds[self.next_fd] = self.files[name]
         return self.next_fd
 
-    def write(self, fd, at, data):
+    def write(self, fd, offset, data):
         self.step("write")
         file = self.fds[fd]
-        put_into(file.now, at, data)
-        file.pending.append((at, bytes(data)))
+        put_into(file.now, offset, data)
+        file.pending.append((offset, bytes(data)))
 
-    def read_at(self, fd, at, size):
-        return bytes(self.fds[fd].now[at : at + size])
+    def read_at(self, fd, offset, size):
+        return bytes(self.fds[fd].now[offset : offset + size])
 
     def sync(self, fd):
         self.step("sync")
@@ -104,10 +109,10 @@
         del self.files[name]
 
     def crash(self, rng):
-        """-> what a machine finds after its power was cut now."""
+        """Returns the files as found after a power cut at this moment."""
         after = SimFiles()
         names = dict(self.safe_names)
-        for name in set(self.files) | set(names):  # each change of names since the last sync of the folder came, or did not
+        for name in set(self.files) | set(names):  # each unsynced change of a name may or may not have happened
             if self.files.get(name) is not names.get(name) and rng.random() < 0.5:
                 if name in self.files:
                     names[name] = self.files[name]
@@ -116,14 +121,14 @@
         for name, file in names.items():
             new = after.files[name] = File()
             new.safe = bytearray(file.safe)
-            for at, data in file.pending:
-                if at == "cut":
+            for offset, data in file.pending:
+                if offset == "cut":
                     if rng.random() < 0.5:
                         del new.safe[data:]
                     continue
                 for start in range(0, len(data), SECTOR):
                     if rng.random() < 0.6:
-                        put_into(new.safe, at + start, data[start : start + SECTOR])
+                        put_into(new.safe, offset + start, data[start : start + SECTOR])
             new.now = bytearray(new.safe)
         after.safe_names = dict(after.files)
         return after
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a dict, with its files cut, flipped, and its power taken at every moment."""
+"""The store checked against a dict: truncated files, flipped bytes, power cuts and disk errors at every operation."""
 
 import random
 import threading
@@ -10,10 +10,20 @@
 
 from lapiswing.loop import Clock, Loop
 from lapiswing.store import Engine, Files, InlineWorker, StoreError, Worker
-from lapiswing.store.format import HEAD, Damaged, frame, outer, read_frame, read_outer, segment_head
+from lapiswing.store.format import (
+    SEGMENT_HEADER,
+    Damaged,
+    decode_file,
+    encode_file,
+    encode_frame,
+    encode_segment_header,
+    read_frame,
+)
+
 
+class FakeClock:
+    """Wall clock in ms that tests set."""
 
-class Now:
     def __init__(self):
         self.ms = 1_000_000
 
@@ -21,16 +31,16 @@
         return self.ms
 
 
-def opened(files, now=None, **more):
-    return Engine(files, InlineWorker(), now or Now(), **more).open()
+def open_engine(files, now=None, **more):
+    return Engine(files, InlineWorker(), now or FakeClock(), **more).open()
 
 
-def held(engine):
+def contents(engine):
     return dict(engine.range())
 
 
 def run(engine, steps, model=None):
-    """-> the model after each acknowledged batch."""
+    """Puts batches and applies them to a dict. Returns the dict's states before and after each acknowledged batch."""
     model, states = dict(model or {}), []
     states.append(dict(model))
     for items in steps:
@@ -43,7 +53,7 @@
     return states
 
 
-def some_steps(rng, n, keys=12, most=400):
+def random_batches(rng, n, keys=12, most=400):
     out = []
     for _ in range(n):
         out.append(
@@ -56,32 +66,33 @@
 
 
 def test_put_get_delete_range_and_what_is_left_after_a_start(tmp_path):
-    engine = opened(Files(tmp_path))
-    states = run(engine, some_steps(random.Random(1), 60))
-    assert held(engine) == states[-1] and list(engine.range(b"k1", b"k2")) == sorted(
+    engine = open_engine(Files(tmp_path))
+    states = run(engine, random_batches(random.Random(1), 60))
+    assert contents(engine) == states[-1] and list(engine.range(b"k1", b"k2")) == sorted(
         (k, v) for k, v in states[-1].items() if b"k1" <= k < b"k2"
     )
     engine.close()
-    again = opened(Files(tmp_path))
-    assert held(again) == states[-1] and again.get(b"none") is None
+    again = open_engine(Files(tmp_path))
+    assert contents(again) == states[-1] and again.get(b"none") is None
     again.close()
 
 
 def test_two_processes_on_one_folder(tmp_path):
-    engine = opened(Files(tmp_path))
+    engine = open_engine(Files(tmp_path))
     with pytest.raises(StoreError) as problem:
-        opened(Files(tmp_path))
+        open_engine(Files(tmp_path))
     assert problem.value.kind == "locked"
     engine.close()
-    opened(Files(tmp_path)).close()
+    open_engine(Files(tmp_path)).close()
 
 
-def sequence(segment_bytes=700):
-    """A realistic sequence over some segments. -> (files, states, length of the files at each acknowledgement)."""
+def written_store(segment_bytes=700):
+    """Writes batches over several segments. Returns (files, engine, contents after each batch, lengths of the files after each
+    batch)."""
     files = SimFiles()
-    engine = opened(files, segment_bytes=segment_bytes)
+    engine = open_engine(files, segment_bytes=segment_bytes)
     states, marks, model = [{}], [dict((n, len(f.now)) for n, f in files.files.items())], {}
-    for items in some_steps(random.Random(5), 24, most=150):
+    for items in random_batches(random.Random(5), 24, most=150):
         (after,) = run(engine, [items], model)[1:]
         model = after
         states.append(after)
@@ -102,7 +113,7 @@
 
 
 def test_the_active_segment_cut_at_every_byte():
-    files, engine, states, marks = sequence(segment_bytes=1 << 20)
+    files, engine, states, marks = written_store(segment_bytes=1 << 20)
     name = "00000001.log"
     for size in range(len(files.files[name].now) + 1):
 
@@ -110,23 +121,23 @@
             del data[size:]
 
         cut_files = copy_of(files, (name, cut))
-        found = held(opened(cut_files))
-        whole = max(i for i, m in enumerate(marks) if m[name] <= max(size, HEAD.size))
-        # Every batch that was wholly in is there, and what is there is a prefix of the batches.
+        found = contents(open_engine(cut_files))
+        whole = max(i for i, m in enumerate(marks) if m[name] <= max(size, SEGMENT_HEADER.size))
+        # Exactly the batches that were completely written are found.
         assert found == states[whole], size
-        again = opened(cut_files_closed(cut_files))
-        assert held(again) == states[whole]
+        again = open_engine(unlocked(cut_files))
+        assert contents(again) == states[whole]
         run(again, [[(b"new", b"1", 0)]])
-        assert held(opened(cut_files_closed(cut_files))) == {**states[whole], b"new": b"1"}
+        assert contents(open_engine(unlocked(cut_files))) == {**states[whole], b"new": b"1"}
 
 
-def cut_files_closed(files):
+def unlocked(files):
     files.locked = False
     return files
 
 
 def test_a_closed_segment_that_is_cut_is_refused_at_every_byte():
-    files, engine, states, _ = sequence()
+    files, engine, states, _ = written_store()
     name = f"{engine.segments[0]:08d}.log"
     for size in range(0, len(files.files[name].now), 7):
 
@@ -136,12 +147,12 @@
         damaged = copy_of(files, (name, cut))
         damaged.files = {n: f for n, f in damaged.files.items() if not n.endswith(".hint")}
         with pytest.raises(StoreError):
-            opened(damaged)
+            open_engine(damaged)
 
 
 @pytest.mark.parametrize("hints", [True, False])
 def test_every_byte_flipped_is_refused_or_gives_a_prefix(hints):
-    files, engine, states, _ = sequence()
+    files, engine, states, _ = written_store()
     prefixes = [tuple(sorted(s.items())) for s in states]
     refused = prefix = same = 0
     for name in list(files.files):
@@ -156,13 +167,13 @@
             if not hints:
                 damaged.files = {n: f for n, f in damaged.files.items() if not n.endswith(".hint")}
             try:
-                engine = opened(damaged)
-                found = tuple(sorted(held(engine).items()))
+                engine = open_engine(damaged)
+                found = tuple(sorted(contents(engine).items()))
             except (StoreError, Damaged):
                 refused += 1
                 continue
             if name.endswith(".log") and hints and found == prefixes[-1]:
-                same += 1  # its hint was used, and the value was not read from there
+                same += 1  # the hint file was used instead of the damaged segment
                 continue
             assert found in prefixes, (name, at)
             prefix += 1
@@ -170,15 +181,15 @@
 
 
 def test_a_flipped_value_is_refused_when_it_is_read():
-    """A hint names the place only; what lies there is checked each time."""
+    """A hint file only gives the location of a large value; its checksum is verified on each read."""
     files = SimFiles()
-    engine = opened(files, segment_bytes=600)
+    engine = open_engine(files, segment_bytes=600)
     run(engine, [[(b"big", b"x" * 500, 0)], [(b"a", b"1", 0)], [(b"b", b"2" * 300, 0)], [(b"c", b"3", 0)]])
     assert engine.index.keys[b"big"][4] is None and len(engine.segments) > 1
     engine.close()
     at = files.files["00000001.log"].now.index(b"x" * 100)
     files.files["00000001.log"].now[at] ^= 1
-    again = opened(files)
+    again = open_engine(files)
     assert again.counts["hints used"] == 1 and again.get(b"a") == b"1"
     with pytest.raises(Damaged):
         again.get(b"big")
@@ -186,40 +197,40 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_power_cut_at_any_operation_keeps_what_was_acknowledged(seed):
-    """Also in the middle of compactions, of a switch of the manifest, of a hint. The acknowledged are there; what is there is a
-    prefix of what was put."""
+    """Includes cuts during compaction and while the manifest or a hint file is written. All acknowledged batches are found, and
+    the contents are a prefix of what was put."""
     rng = random.Random(seed)
-    steps = some_steps(rng, 40, most=150)
+    steps = random_batches(rng, 40, most=150)
     probe = SimFiles()
-    play(probe, steps, None, rng)
+    run_until_power_cut(probe, steps, None, rng)
     for _ in range(12):
         files, stop = SimFiles(), rng.randrange(1, probe.operations)
-        states, acknowledged = play(files, steps, stop, rng)
+        states, acknowledged = run_until_power_cut(files, steps, stop, rng)
         after = files.crash(rng)
-        found = held(opened(after, segment_bytes=600))
+        found = contents(open_engine(after, segment_bytes=600))
         assert found in states[acknowledged:], (seed, stop)
-        again = cut_files_closed(after)
-        engine = opened(again, segment_bytes=600)
+        again = unlocked(after)
+        engine = open_engine(again, segment_bytes=600)
         run(engine, [[(b"z", b"1", 0)]])
         engine.close()
-        assert held(opened(again)) == {**found, b"z": b"1"}
+        assert contents(open_engine(again)) == {**found, b"z": b"1"}
 
 
-class Cut(Exception):
+class PowerCut(Exception):
     pass
 
 
-def play(files, steps, stop, rng):
-    """-> (states after each batch, how many were acknowledged) when the power goes at operation `stop`."""
+def run_until_power_cut(files, steps, stop, rng):
+    """Puts batches until the power is cut at operation `stop`. Returns (state after each batch, number of acknowledged ones)."""
 
     def fail(operation, name):
         if stop is not None and files.operations >= stop:
-            raise Cut
+            raise PowerCut
 
     files.fail = fail
     model, states, acknowledged = {}, [{}], 0
     try:
-        engine = opened(files, segment_bytes=600)
+        engine = open_engine(files, segment_bytes=600)
         for i, items in enumerate(steps):
             for key, value, _ in items:
                 model.pop(key, None) if value is None else model.__setitem__(key, value)
@@ -231,25 +242,25 @@
             if i % 7 == 6:
                 for _ in engine.compact():
                     pass
-                assert held(engine) == model
-    except Cut:
+                assert contents(engine) == model
+    except PowerCut:
         pass
     return states, acknowledged
 
 
 def test_a_frame_that_was_lost_before_one_that_says_it_was_there_is_damage_and_a_torn_group_is_not():
-    head = segment_head(1)
-    one, two = frame(1, 1, 0, 5, [(b"a", b"1", 0)]), frame(1, 2, 1, 5, [(b"b", b"2", 0)])
-    group = frame(1, 2, 0, 5, [(b"b", b"2", 0)])
+    head = encode_segment_header(1)
+    one, two = encode_frame(1, 1, 0, 5, [(b"a", b"1", 0)]), encode_frame(1, 2, 1, 5, [(b"b", b"2", 0)])
+    group = encode_frame(1, 2, 0, 5, [(b"b", b"2", 0)])
     for second, good in ((two, False), (group, True)):
         files = SimFiles()
-        opened(files).close()
+        open_engine(files).close()
         files.files["00000001.log"].now = bytearray(head + b"\0" * len(one) + second)
         if good:
-            assert held(opened(files)) == {}
+            assert contents(open_engine(files)) == {}
         else:
             with pytest.raises(StoreError, match="can't be read"):
-                opened(files)
+                open_engine(files)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -265,8 +276,8 @@
     st.integers(0, 1 << 30),
 )
 def test_against_a_dict(steps, seed):
-    rng, now, files = random.Random(seed), Now(), SimFiles()
-    engine, model = opened(files, now, segment_bytes=500), {}
+    rng, now, files = random.Random(seed), FakeClock(), SimFiles()
+    engine, model = open_engine(files, now, segment_bytes=500), {}
     for what, n, value in steps:
         key = b"k%d" % n
         if what == "put":
@@ -291,18 +302,18 @@
             now.ms += 700 * n
         elif what == "reopen":
             engine.close()
-            engine = opened(files, now, segment_bytes=500)
+            engine = open_engine(files, now, segment_bytes=500)
         else:
-            files = files.crash(rng)  # all was acknowledged
-            engine = opened(files, now, segment_bytes=500)
+            files = files.crash(rng)  # all puts were acknowledged
+            engine = open_engine(files, now, segment_bytes=500)
         wanted = {k: v for k, (v, expires) in model.items() if not 0 < expires <= now.ms}
-        assert held(engine) == wanted
+        assert contents(engine) == wanted
         assert engine.index.bytes == sum(engine.index.cost(k, e[2]) for k, e in engine.index.keys.items())
 
 
 def test_a_clock_that_steps_back_brings_nothing_back(tmp_path):
-    now = Now()
-    engine = opened(Files(tmp_path), now)
+    now = FakeClock()
+    engine = open_engine(Files(tmp_path), now)
     run(engine, [[(b"k", b"v", now.ms + 1000)]])
     now.ms += 2000
     assert engine.get(b"k") is None
@@ -310,33 +321,33 @@
     now.ms -= 1_000_000
     assert engine.get(b"k") is None
     engine.close()
-    again = opened(Files(tmp_path), now)
+    again = open_engine(Files(tmp_path), now)
     assert again.get(b"k") is None and again.get(b"x") == b"y"
     again.close()
 
 
 def test_a_snapshot_stays_as_it_was_while_all_changes_and_is_compacted():
     files = SimFiles()
-    engine = opened(files, segment_bytes=600)
-    before = run(engine, some_steps(random.Random(3), 30, most=300))[-1]
+    engine = open_engine(files, segment_bytes=600)
+    before = run(engine, random_batches(random.Random(3), 30, most=300))[-1]
     view = engine.snapshot()
-    after = run(engine, some_steps(random.Random(4), 30, most=300), before)[-1]
+    after = run(engine, random_batches(random.Random(4), 30, most=300), before)[-1]
     for _ in range(3):
         for _ in engine.compact():
             pass
-    assert dict(view.range()) == before and held(engine) == after
+    assert dict(view.range()) == before and contents(engine) == after
     assert {k: view.get(k) for k in before} == before
     view.close()
     segments = len(engine.segments)
     for _ in range(4):
         for _ in engine.compact():
             pass
-    assert len(engine.segments) < segments and held(engine) == after
+    assert len(engine.segments) < segments and contents(engine) == after
 
 
 def test_compaction_makes_room_and_deletes_stay_deleted():
     files = SimFiles()
-    engine = opened(files, segment_bytes=2000)
+    engine = open_engine(files, segment_bytes=2000)
     for i in range(300):
         engine.put([(b"k%d" % (i % 10), b"v" * 100, 0), (b"gone%d" % i, b"x", 0)])
         engine.put([(b"gone%d" % i, None, 0)])
@@ -345,22 +356,22 @@
         for _ in engine.compact():
             pass
     now = sum(len(f.now) for n, f in files.files.items() if n.endswith(".log"))
-    assert now < size / 8 and len(held(engine)) == 10
+    assert now < size / 8 and len(contents(engine)) == 10
     engine.close()
-    assert len(held(opened(files))) == 10
+    assert len(contents(open_engine(files))) == 10
 
 
 def test_what_is_put_while_a_compaction_waits_for_room_is_not_overwritten_by_its_copy(monkeypatch):
     from lapiswing.store import engine as module
 
     files = SimFiles()
-    engine = opened(files, segment_bytes=600)
+    engine = open_engine(files, segment_bytes=600)
     run(engine, [[(b"k%d" % i, b"old" * 50, 0)] for i in range(10)])
     work, jobs = engine.compact(), []
     next(work)
     real = engine.worker.submit
-    engine.worker.submit = lambda job, done: jobs.append((job, done))  # a disk that takes its time
-    monkeypatch.setattr(module, "MOST_WAITING", 1000)
+    engine.worker.submit = lambda job, done: jobs.append((job, done))  # a slow disk: jobs are run later
+    monkeypatch.setattr(module, "MAX_WAITING_BYTES", 1000)
     for key, value in ((b"k0", b"new"), (b"k1", b"new"), (b"filler", b"f" * 400)):
         assert engine.put([(key, value, 0)])
     for _ in range(3):
@@ -374,11 +385,11 @@
         pass
     assert [engine.get(b"k%d" % i) for i in range(4)] == [b"new", b"new", b"new", b"old" * 50]
     engine.close()
-    again = opened(files)
+    again = open_engine(files)
     assert [again.get(b"k%d" % i) for i in range(4)] == [b"new", b"new", b"new", b"old" * 50]
 
 
-class Failing:
+class FailOn:
     def __init__(self, *what):
         self.what, self.on = what, False
 
@@ -392,34 +403,34 @@
 @pytest.mark.parametrize("errno,mode", [(28, "full"), (5, "failed"), (30, "failed")])
 @pytest.mark.parametrize("what", ["write", "sync"])
 def test_what_can_not_be_written_is_not_claimed(errno, mode, what):
-    files, now = SimFiles(), Now()
-    engine = opened(files, now)
-    states = run(engine, some_steps(random.Random(2), 10))
-    fail = files.fail = Failing(what)
+    files, now = SimFiles(), FakeClock()
+    engine = open_engine(files, now)
+    states = run(engine, random_batches(random.Random(2), 10))
+    fail = files.fail = FailOn(what)
     fail.errno, fail.on = errno, True
     out = []
     engine.put([(b"k1", b"new", 0), (b"lost", b"x", 0)], out.append)
-    assert out and out[0] and engine.mode == mode and held(engine) == states[-1]
+    assert out and out[0] and engine.mode == mode and contents(engine) == states[-1]
     engine.put([(b"more", b"x", 0)], out.append)
     assert len(out) == 2 and out[1] and engine.counts["refused"] == 1
     fail.on = False
     now.ms += 5000
     engine.put([(b"later", b"x", 0)], out.append)
     if mode == "full":
-        assert out[2] is None and held(engine) == {**states[-1], b"later": b"x"}
+        assert out[2] is None and contents(engine) == {**states[-1], b"later": b"x"}
     else:
-        assert out[2]  # after a failed sync nobody knows what is on the disk
+        assert out[2]  # after a failed sync the contents of the disk are unknown
     engine.close()
     files.fail = None
-    found = held(opened(files, now))
+    found = contents(open_engine(files, now))
     assert found in (states[-1], {**states[-1], b"later": b"x"}) or mode == "failed"
     assert found.items() >= {k: v for k, v in states[-1].items() if k != b"k1"}.items()
 
 
 def test_a_roll_that_fails_half_way_and_goes_on(tmp_path):
     for at in range(12):
-        files, now = SimFiles(), Now()
-        engine = opened(files, now, segment_bytes=300)
+        files, now = SimFiles(), FakeClock()
+        engine = open_engine(files, now, segment_bytes=300)
         model = run(engine, [[(b"a", b"x" * 280, 0)]])[-1]
         start, seen = files.operations, []
 
@@ -434,38 +445,38 @@
         now.ms += 5000
         engine.put([(b"c", b"2", 0)], out.append)
         model = {**model, **({} if out[0] else {b"b": b"1"}), **({} if out[1] else {b"c": b"2"})}
-        assert held(engine) == model
+        assert contents(engine) == model
         files.fail = None
         crashed = files.crash(random.Random(at))
-        assert held(opened(crashed)) == model, at
+        assert contents(open_engine(crashed)) == model, at
 
 
 def test_files_of_another_kind_a_later_version_and_a_missing_manifest(tmp_path):
     files = Files(tmp_path)
-    run(opened(files), [[(b"k", b"v", 0)]])
+    run(open_engine(files), [[(b"k", b"v", 0)]])
     for name, change, kind in (
         ("MANIFEST", lambda d: d[:4] + b"\x00\x63" + d[6:], "newer"),
         ("MANIFEST", lambda d: d[:-1], "damaged"),
-        ("00000001.log", lambda d: segment_head(2) + d[16:], "damaged"),
+        ("00000001.log", lambda d: encode_segment_header(2) + d[16:], "damaged"),
     ):
         keep = (tmp_path / name).read_bytes()
         (tmp_path / name).write_bytes(change(keep))
         with pytest.raises(StoreError) as problem:
-            opened(Files(tmp_path / "."))
+            open_engine(Files(tmp_path / "."))
         assert problem.value.kind == kind and problem.value.file == name
         (tmp_path / name).write_bytes(keep)
     (tmp_path / "MANIFEST").unlink()
     with pytest.raises(StoreError, match="is missing, but there are segments"):
-        opened(Files(tmp_path))
+        open_engine(Files(tmp_path))
 
 
 def test_formats_check_what_they_read():
-    data = frame(3, 7, 6, 9, [(b"k", b"v", 0)])
+    data = encode_frame(3, 7, 6, 9, [(b"k", b"v", 0)])
     assert read_frame(data, 0, 3)[2:6] == (7, 6, 9, [(b"k", b"v", 0)])
     with pytest.raises(Damaged):
-        read_frame(data, 0, 4)  # of another segment
+        read_frame(data, 0, 4)  # frame of another segment
     with pytest.raises(Damaged):
-        read_outer(outer(b"LWMF", 1), b"LWHT", int)
+        decode_file(encode_file(b"LWMF", 1), b"LWHT", int)
 
 
 def test_group_commit_on_the_loop_in_order_and_reads_meanwhile(tmp_path):
@@ -479,30 +490,30 @@
     assert out == [(i, None) for i in range(500)] and engine.counts["groups"] < 100
     assert threading.active_count() >= 2
     engine.close()
-    again = opened(Files(tmp_path))
-    assert len(held(again)) == 50
+    again = open_engine(Files(tmp_path))
+    assert len(contents(again)) == 50
     again.close()
     loop.close()
 
 
 def test_hints_make_no_difference_to_what_is_found(tmp_path):
-    engine = opened(Files(tmp_path), segment_bytes=2000)
-    states = run(engine, some_steps(random.Random(8), 200, keys=40))
+    engine = open_engine(Files(tmp_path), segment_bytes=2000)
+    states = run(engine, random_batches(random.Random(8), 200, keys=40))
     engine.close()
-    again = opened(Files(tmp_path))
-    assert again.counts["hints used"] > 5 and held(again) == states[-1]
+    again = open_engine(Files(tmp_path))
+    assert again.counts["hints used"] > 5 and contents(again) == states[-1]
     again.close()
     for path in tmp_path.glob("*.hint"):
         path.unlink()
-    again = opened(Files(tmp_path))
-    assert again.counts["hints used"] == 0 and held(again) == states[-1]
+    again = open_engine(Files(tmp_path))
+    assert again.counts["hints used"] == 0 and contents(again) == states[-1]
     again.close()
 
 
 # ---- tools
 
 
-def command(*args):
+def run_command(*args):
     from click.testing import CliRunner
 
     from lapiswing.cli.main import main
@@ -512,8 +523,8 @@
 
 
 def filled(folder, n=80):
-    engine = opened(Files(folder), segment_bytes=2000)
-    states = run(engine, some_steps(random.Random(11), n, keys=30))
+    engine = open_engine(Files(folder), segment_bytes=2000)
+    states = run(engine, random_batches(random.Random(11), n, keys=30))
     engine.close()
     return states
 
@@ -522,15 +533,15 @@
     import json
 
     states = filled(tmp_path / "s")
-    code, text = command("verify", tmp_path / "s", "--json")
+    code, text = run_command("verify", tmp_path / "s", "--json")
     assert code == 0 and json.loads(text)["ok"] and json.loads(text)["frames"] == 80
-    rows = [json.loads(line) for line in command("dump", tmp_path / "s")[1].splitlines()]
+    rows = [json.loads(line) for line in run_command("dump", tmp_path / "s")[1].splitlines()]
     assert {r["key"] for r in rows} == {k.decode() for k in states[-1]}
-    code, text = command("compact", tmp_path / "s")
+    code, text = run_command("compact", tmp_path / "s")
     assert code == 0 and int(text.split()[0]) > int(text.split()[-2])
-    engine = opened(Files(tmp_path / "s"))
-    assert held(engine) == states[-1]
-    assert command("verify", tmp_path / "s") == (
+    engine = open_engine(Files(tmp_path / "s"))
+    assert contents(engine) == states[-1]
+    assert run_command("verify", tmp_path / "s") == (
         2,
         "Error: LOCK: another process has this store open\n"
         "To do: End the process that has it open, or name another folder in `store.folder`.\n",
@@ -546,25 +557,25 @@
     logs[3].write_bytes(data)
     for hint in (tmp_path / "s").glob("*.hint"):
         hint.unlink()
-    assert command("verify", tmp_path / "s")[0] == 1
+    assert run_command("verify", tmp_path / "s")[0] == 1
     with pytest.raises(StoreError):
-        opened(Files(tmp_path / "s"))
-    code, text = command("repair", tmp_path / "s", "--keep", tmp_path / "kept")
-    assert code == 0 and logs[3].name in text and "nothing after it is taken" in text
-    engine = opened(Files(tmp_path / "s"))
-    found = held(engine)
+        open_engine(Files(tmp_path / "s"))
+    code, text = run_command("repair", tmp_path / "s", "--keep", tmp_path / "kept")
+    assert code == 0 and logs[3].name in text and "nothing after it is kept" in text
+    engine = open_engine(Files(tmp_path / "s"))
+    found = contents(engine)
     assert found in states and found != states[-1] and found != {}
     run(engine, [[(b"new", b"1", 0)]])
     engine.close()
-    assert command("verify", tmp_path / "s")[0] == 0
+    assert run_command("verify", tmp_path / "s")[0] == 0
     assert bytes(data) == (tmp_path / "kept" / logs[3].name).read_bytes()
-    assert command("repair", tmp_path / "s", "--keep", tmp_path / "kept")[0] == 1  # never over what is kept
+    assert run_command("repair", tmp_path / "s", "--keep", tmp_path / "kept")[0] == 1  # an existing backup is never overwritten
 
 
 def test_repair_without_a_manifest(tmp_path):
     states = filled(tmp_path / "s", 30)
     (tmp_path / "s" / "MANIFEST").unlink()
-    assert command("repair", tmp_path / "s", "--keep", tmp_path / "kept")[0] == 0
-    engine = opened(Files(tmp_path / "s"))
-    assert held(engine) == states[-1]
+    assert run_command("repair", tmp_path / "s", "--keep", tmp_path / "kept")[0] == 0
+    engine = open_engine(Files(tmp_path / "s"))
+    assert contents(engine) == states[-1]
     engine.close()
