--- a/lapiswing/cli/transfer.py
+++ b/lapiswing/cli/transfer.py
@@ -230,8 +230,8 @@
                 else ("whole" if row["here"] == row["bytes"] else "file missing or of another length")
             )
         return tell(rows, as_json, ("name", "bytes", "state", "root"))
-    from lapiswing.loop import address_of
     from lapiswing.transfer.frames import MAX_LISTED_STATES
+    from lapiswing.loop import address_of
 
     try:
         where = address_of(what)
--- a/lapiswing/gateway/fronts/listener.py
+++ b/lapiswing/gateway/fronts/listener.py
@@ -5,14 +5,14 @@
     def __init__(self, exchange):
         self.exchange, self.core, self.req = exchange, None, None
 
-    def follow(self, core, req):
+    def attach(self, core, req):
         self.core, self.req = core, req
         if req is not None and not self.exchange.over:
             self.exchange.on_left = self.left
             self.exchange.on_drained = self.drained
 
     def look(self):
-        self.exchange.look()
+        self.exchange.poll_client()
 
     def left(self):
         self.core.left(self.req, self)
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -23,8 +23,8 @@
 from lapiswing.membership.merge import Limits as MemberLimits
 from lapiswing.policy import Router
 from lapiswing.settings import SettingsError, load_boxes, router_settings
-from lapiswing.settings.settings_pb2 import GO_ON
 from lapiswing.settings.load import ROLES, Names, boxes_of, row_of_found
+from lapiswing.settings.settings_pb2 import GO_ON
 from lapiswing.state import Memory
 from lapiswing.store import Engine as Store
 from lapiswing.store import Files, StoreError, Worker
@@ -113,8 +113,8 @@
         if self.store is not None:
             self.remember()
         self.read_boxes()
-        if self.stamp is None and not self.core.membership.told:
-            self.core.list_boxes(self.rows(self.settings.box))
+        if self.stamp is None and not self.core.membership.published:
+            self.core.update_servers(self.rows(self.settings.box))
         if self.settings.dns.service or self.settings.dns.srv:
             self.discover()
         self.core.turn()
@@ -135,7 +135,7 @@
         if s_admin(self.settings.admin):
             self.admin = Admin(self, self.log)
             self.admin.start()
-        self.log.info("listening", host=l.host, port=self.port, boxes=len(self.core.membership.told))
+        self.log.info("listening", host=l.host, port=self.port, boxes=len(self.core.membership.published))
 
     def discover(self):
         """Looks for boxes by records, from now on."""
@@ -201,28 +201,28 @@
         """Gives the decisions what an earlier life of them learnt; what is taken up of it is their affair. Whatever can't be
         used means a fresh start and a line that says why."""
         record, router = found.learnt, self.core.router
-        if record is None or not hasattr(router, "take_up"):
+        if record is None or not hasattr(router, "restore_learned_state"):
             return self.log.info("learnt figures", start="fresh", why=found.learnt_why)
         try:
             figures = {
                 **record.figures,
                 "boxes": [[box, self.started_us(started), *rest] for box, started, *rest in record.figures["boxes"]],
             }
-            said = router.take_up(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
+            said = router.restore_learned_state(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
         except (ValueError, TypeError, LookupError) as problem:
             return self.log.warning("learnt figures", start="fresh", why=f"can't be used: {problem}")
         self.log.info("learnt figures", said=said)
 
-    def put_learnt(self):
-        if self.store is None or not hasattr(self.core.router, "learnt"):
+    def save_learned_state(self):
+        if self.store is None or not hasattr(self.core.router, "learned_state"):
             return
-        figures = self.core.router.learnt()
+        figures = self.core.router.learned_state()
         # Start times as Unix milliseconds: the loop's own time means nothing to the next life.
         figures["boxes"] = [
             [box, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
             for box, started, *rest in figures["boxes"]
         ]
-        self.core.memory.learnt(figures)
+        self.core.memory.save_learned_state(figures)
 
     chores_done = 0
 
@@ -230,7 +230,7 @@
         self.loop.call_later(CHORES_US, self.chores)
         self.chores_done += 1
         if self.chores_done % LEARNT_EVERY == 0:
-            self.put_learnt()
+            self.save_learned_state()
         names = {row["name"] for row in self.tasks.rows()}
         if self.store.wants_compaction() and "compaction" not in names:
             self.tasks.add("compaction", self.store.compact(), priority=7, share=0.1)
@@ -261,7 +261,7 @@
                 self.log.error("boxes file can't be read; the last list stands", why=str(problem))
             return
         self.stamp, self.list_fault = stamp, None
-        self.core.list_boxes(self.rows([*self.settings.box, *boxes]))
+        self.core.update_servers(self.rows([*self.settings.box, *boxes]))
 
     def ask(self):
         self.loop.call_later(1000 * MS, self.ask)
@@ -280,7 +280,7 @@
         self.drain()
 
     def drain(self):
-        self.put_learnt()
+        self.save_learned_state()
         if self.fleet is not None:
             self.fleet.close()
         self.core.changed("gateway", text="draining")
@@ -302,7 +302,7 @@
         if (self.sessions.connections or self.sessions.unfinished()) and self.loop.clock.now_us() < self.stop_us:
             return self.loop.call_later(20 * MS, self.finish)  # they are sent away one by one
         # What was written last is still on its way to clients.
-        if any(c.stream.waiting for c in self.server.connections) and self.patience():
+        if any(c.stream.unsent_bytes for c in self.server.connections) and self.patience():
             return self.loop.call_later(20 * MS, self.finish)
         self.log.info(
             "stopped",
