--- a/lapiswing/transfer/__init__.py
+++ b/lapiswing/transfer/__init__.py
@@ -1,6 +1,12 @@
-"""Moves of read states between boxes: chunks, flow control, checksums, resumption. docs/transfer.md is the protocol.
+"""Transfer of read states between model servers: chunks, flow control, checksums, resumption. A read state is what a read
+(prefill) server leaves for a write (decode) server. docs/transfer.md describes the protocol.
 
-frames    bytes <-> frames, and the manifest; pure
-machine   what one receiver and one connection's sender do; pure
-decide    order, windows, what to do when a move stalls or breaks; pure
-agent     the doing part: serves states, fetches them, on the project's loop"""
+frames        encoding and decoding of frames and manifests; no I/O
+machine       state machines of one receiver and of one sending connection; no I/O
+decide        order, windows, what to do when a transfer stalls or fails; no I/O
+states        states in memory and in files
+peers         the two ends of a connection between agents
+fetch         one state on its way to this agent
+agent         serves and fetches states on the event loop
+certificates  keys and certificates of agents, TLS contexts
+serve         the agent as a program with an HTTP interface"""
--- a/lapiswing/transfer/certificates.py
+++ b/lapiswing/transfer/certificates.py
@@ -1,8 +1,8 @@
-"""The fleet's own authority, agents' certificates, and the TLS contexts made from their files.
+"""The fleet's certificate authority, the certificates of agents, and TLS contexts made from their files.
 
-Rotation without a gap: an agent accepts what any certificate in its authority file has signed, so that a new authority is
-first added everywhere, then agents get certificates of it, then the old one is taken out. Files are read again on demand;
-new ones count for new connections, and ones that are no good leave the last good ones standing."""
+Rotation without interruption: an agent accepts certificates signed by any authority in its authority file. To rotate, add the
+new authority everywhere, then issue agents certificates of it, then remove the old one. Files are reloaded on demand and apply
+to new connections; if they are invalid, the last valid ones stay in use."""
 
 import datetime
 import os
@@ -22,7 +22,7 @@
 
 
 class CertificateError(OperatorError):
-    """`file` and `reason`."""
+    """A certificate or key file can't be used. `file` and `reason` say which and why."""
 
     exit_code = 2
     advice = (
@@ -35,10 +35,12 @@
 
 
 def subject(name):
+    """An X.509 name with a common name only."""
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
 
 
 def builder(name, issuer, public_key, days, now):
+    """A certificate builder, valid from one hour ago, so that clocks may differ a little."""
     return (
         x509.CertificateBuilder()
         .subject_name(subject(name))
@@ -51,11 +53,12 @@
 
 
 def utc_now():
+    """The present time, with time zone."""
     return datetime.datetime.now(datetime.timezone.utc)
 
 
 def pem_of(key, certificate):
-    """-> (key, certificate) as PEM bytes."""
+    """Returns (key, certificate) as PEM bytes."""
     return (
         key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()),
         certificate.public_bytes(serialization.Encoding.PEM),
@@ -63,7 +66,7 @@
 
 
 def make_authority(name, days, now=None):
-    """A key and its own certificate that may sign others. -> (key, certificate) as PEM bytes."""
+    """Creates a certificate authority: a key and a self-signed certificate. Returns (key, certificate) as PEM bytes."""
     key = ec.generate_private_key(ec.SECP256R1())
     certificate = (
         builder(name, subject(name), key.public_key(), days, now or utc_now())
@@ -76,7 +79,7 @@
 
 
 def issue(authority_key, authority_certificate, name, days, now=None):
-    """An agent's key and certificate. -> PEM bytes. Raises ValueError."""
+    """Creates the key and certificate of an agent. Returns (key, certificate) as PEM bytes. Raises ValueError."""
     signer = serialization.load_pem_private_key(authority_key, None)
     issuer = x509.load_pem_x509_certificate(authority_certificate)
     if signer.public_key() != issuer.public_key():
@@ -94,11 +97,11 @@
 
 
 def write_secret(path, data):
-    """Readable by its owner only, and never half there. Raises OSError; FileExistsError where something is there already:
-    a key that was overwritten is a fleet that no longer talks."""
+    """Writes a file atomically, readable by its owner only. Raises OSError, and FileExistsError instead of overwriting a file: a
+    key that was overwritten by mistake cuts its agents off from the fleet."""
     path = Path(path)
     if path.exists():
-        raise FileExistsError(17, "is there already", str(path))
+        raise FileExistsError(17, "already exists", str(path))
     temporary = path.with_name(path.name + ".new")
     fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     with os.fdopen(fd, "wb") as file:
@@ -107,8 +110,8 @@
 
 
 def check(certificate_file, key_file, authority_file, name, now=None):
-    """Whether an agent of this name can be run with these files. -> days until the first of its certificates ends. Raises
-    CertificateError."""
+    """Checks that an agent of this name can be run with these files. Returns the days until the first of its certificates
+    expires. Raises CertificateError."""
     now = now or utc_now()
 
     def read(file, load, what):
@@ -124,11 +127,12 @@
     key = read(key_file, lambda data: serialization.load_pem_private_key(data, None), "private key without password")
     if key.public_key() != own.public_key():
         raise CertificateError(key_file, f"does not belong to {certificate_file}")
-    for file, one in [(certificate_file, own), *((authority_file, a) for a in authorities)]:
-        if one is own and not one.not_valid_before_utc <= now < one.not_valid_after_utc:
+    for file, checked in [(certificate_file, own), *((authority_file, a) for a in authorities)]:
+        if checked is own and not checked.not_valid_before_utc <= now < checked.not_valid_after_utc:
             raise CertificateError(
                 file,
-                f"is valid from {one.not_valid_before_utc:%Y-%m-%d %H:%M} to {one.not_valid_after_utc:%Y-%m-%d %H:%M} UTC only",
+                f"is valid from {checked.not_valid_before_utc:%Y-%m-%d %H:%M} to "
+                f"{checked.not_valid_after_utc:%Y-%m-%d %H:%M} UTC only",
             )
     signers = [a for a in authorities if a.subject == own.issuer and signed(own, a)]
     if not signers:
@@ -141,10 +145,11 @@
         names = []
     if name not in names:
         raise CertificateError(certificate_file, f"is for {', '.join(names) or 'nobody'}, not for {name}")
-    return round(min(one.not_valid_after_utc - now for one in (own, *signers)) / DAY)
+    return round(min(checked.not_valid_after_utc - now for checked in (own, *signers)) / DAY)
 
 
 def signed(certificate, authority):
+    """Whether the authority has signed a certificate."""
     try:
         certificate.verify_directly_issued_by(authority)
         return True
@@ -153,7 +158,7 @@
 
 
 class Tls:
-    """Contexts of one agent. Raises CertificateError, also from `reload`, which then changes nothing."""
+    """The TLS contexts of one agent. Raises CertificateError, also from `reload`, which then keeps the present contexts."""
 
     def __init__(self, certificate, key, authority, name):
         self.files, self.name = (str(certificate), str(key), str(authority)), name
@@ -161,6 +166,7 @@
         self.reload()
 
     def stamps(self):
+        """Identity and modification time of each file, None for a missing one."""
         out = []
         for file in self.files:
             try:
@@ -171,9 +177,11 @@
         return out
 
     def changed(self):
+        """Whether a file has changed since the last `reload`."""
         return self.stamps() != self.stamp
 
     def reload(self):
+        """Reads the files again and replaces the contexts."""
         self.stamp = self.stamps()
         certificate, key, authority = self.files
         days = check(certificate, key, authority, self.name)
@@ -181,7 +189,7 @@
         for side in (ssl.PROTOCOL_TLS_SERVER, ssl.PROTOCOL_TLS_CLIENT):
             context = ssl.SSLContext(side)
             context.minimum_version = ssl.TLSVersion.TLSv1_3
-            context.check_hostname = False  # agents are known by name, not by address: see peers.Peer.on_frame
+            context.check_hostname = False  # agents are verified by name, not by address, in peers.Peer.on_frame
             context.verify_mode = ssl.CERT_REQUIRED
             try:
                 context.load_cert_chain(certificate, key)
@@ -192,7 +200,9 @@
         self.contexts, self.days = contexts, days
 
     def server(self):
+        """A stream factory for accepted connections."""
         return secure(self.contexts[0], True)
 
     def client(self):
+        """A stream factory for outgoing connections."""
         return secure(self.contexts[1], False)
--- a/lapiswing/transfer/fetch.py
+++ b/lapiswing/transfer/fetch.py
@@ -1,4 +1,4 @@
-"""One state on its way to us: which holder it is asked from, where it lands, how it ends."""
+"""One state that is being fetched: which holder it is requested from, where it is stored, how the fetch ends."""
 
 import mmap
 import os
@@ -6,249 +6,271 @@
 
 from lapiswing.transfer import decide
 from lapiswing.transfer.machine import Receiver
-from lapiswing.transfer.states import NOTE, PART, Part, file_name, read_note
+from lapiswing.transfer.states import MANIFEST_SUFFIX, PART_SUFFIX, PartFile, file_name, read_manifest
 
 MS = 1000
-PAUSES_US = (0, 20 * MS, 60 * MS, 150 * MS, 400 * MS)  # before trying a holder again, by breaks in a row
-RATE_US = 150 * MS  # over which a move's own rate is taken
+RETRY_PAUSES_US = (0, 20 * MS, 60 * MS, 150 * MS, 400 * MS)  # before the next attempt at a holder, by consecutive failures
+RATE_WINDOW_US = 150 * MS  # over which the rate of a fetch is measured
 
 
 class Fetch:
-    """`done(fetch)` comes once. `why` is None and `memory` whole and verified (with a folder: `path` too), or `why` says what
-    went wrong, `advice` what its caller had better do ('read anew' or 'elsewhere'), and nothing is held any more."""
+    """Calls `done(fetch)` once. On success `why` is None and `memory` holds the verified state (with a folder, `path` is its
+    file). On failure `why` is the reason and `advice` what the caller should do: 'read anew' (read the prompt again) or
+    'elsewhere' (use another write server); all memory is released."""
 
     def __init__(self, agent, name, holders, due_us, expires_us, done, priority=5, alternatives=None, folder=None, keep=False):
         self.agent, self.name, self.holders, self.done = agent, name, list(holders), done
         self.due_us, self.expires_us, self.priority, self.alternatives = due_us, expires_us, priority, alternatives or {}
         self.folder, self.keep, self.part, self.path = folder, keep, None, None
         self.receiver = Receiver(name, self.allocate)
-        self.link = self.why = self.memory = self.advice = self.buffer = self.why_not = self.checking = None
-        self.transfer, self.opened, self.is_finished, self.reserved = 0, False, False, 0
-        self.fails, self.corrupt, self.out = {}, {}, set()  # out: holders that have it no more
-        self.breaks = self.leaves = self.gained = 0
-        self.start_us = self.joined_us = agent.loop.clock.now_us()
-        self.seen = self.start_us, 0
-        self.timer = agent.loop.call_at(expires_us, self.end, "too late")
-        self.pause = None
+        self.link = self.why = self.memory = self.advice = self.buffer = self.last_failure = self.check_timer = None
+        self.transfer, self.opened, self.is_finished, self.reserved_bytes = 0, False, False, 0
+        self.failures, self.corrupt_chunks, self.unavailable = {}, {}, set()  # unavailable: holders that no longer have the state
+        self.breaks = self.switches = self.received_bytes = 0
+        self.start_us = self.link_joined_us = agent.loop.clock.now_us()
+        self.rate_sample = self.start_us, 0
+        self.expiry_timer = agent.loop.call_at(expires_us, self.finish, "too late")
+        self.retry_timer = None
 
-    # ---- where it lands
+    # ---- memory and files
 
     def allocate(self, manifest):
-        """Room for a state, within the agent's bound: from what was freed where that fits, for fresh memory costs a page
-        fault every 4 KiB."""
+        """Returns a buffer for a state, or None if the agent's limit would be exceeded. A released buffer is reused if it fits,
+        because new memory costs a page fault every 4 KiB."""
         agent, length = self.agent, manifest.length
-        self.give_back()
+        self.release_buffers()
         if self.folder is not None:
             if agent.used_bytes + length > agent.memory_bytes:
                 return None
             try:
-                return self.land(Part(self.base(), manifest))
+                return self.use_part(PartFile(self.base_path(), manifest))
             except OSError as problem:
                 if problem.errno not in (ENOSPC, EDQUOT):
                     agent.log("part file", why=str(problem))
                 return None
-        buffer = min((b for b in agent.spare if length <= len(b) <= 2 * length), key=len, default=None)
+        buffer = min((b for b in agent.free_buffers if length <= len(b) <= 2 * length), key=len, default=None)
         if buffer is not None:
-            agent.spare.remove(buffer)
+            agent.free_buffers.remove(buffer)
         else:
-            while agent.spare and agent.used_bytes + agent.kept() + length > agent.memory_bytes:
-                agent.spare.pop(0)
+            while agent.free_buffers and agent.used_bytes + agent.free_buffer_bytes() + length > agent.memory_bytes:
+                agent.free_buffers.pop(0)
             if agent.used_bytes + length > agent.memory_bytes:
                 return None
-            buffer = mmap.mmap(-1, length)  # pages come as chunks do; a bytearray would be cleared now, all at once
-        self.buffer, self.reserved = buffer, len(buffer)
-        agent.used_bytes += self.reserved
+            buffer = mmap.mmap(-1, length)  # pages are allocated as chunks arrive; a bytearray would be cleared at once
+        self.buffer, self.reserved_bytes = buffer, len(buffer)
+        agent.used_bytes += self.reserved_bytes
         return memoryview(buffer)[:length]
 
-    def base(self):
+    def base_path(self):
+        """Path of the complete state's file."""
         return os.path.join(self.folder, file_name(self.name))
 
-    def land(self, part):
-        self.part, self.reserved = part, part.manifest.length
-        self.agent.used_bytes += self.reserved
+    def use_part(self, part):
+        """Fetches into a part file. Returns its memory."""
+        self.part, self.reserved_bytes = part, part.manifest.length
+        self.agent.used_bytes += self.reserved_bytes
         return memoryview(part.map)
 
-    def place(self, index):
-        """Where a chunk goes, or None: it is not wanted, or there is no room any more."""
+    def buffer_for(self, index):
+        """The buffer for a chunk, or None if it was not requested or the disk is full."""
         if self.part is not None and not self.part.reserve(index):
-            self.end("no room")
+            self.finish("no room")
             return None
-        return self.receiver.place(index)
+        return self.receiver.buffer_for(index)
 
-    def give_back(self):
-        self.agent.used_bytes -= self.reserved
-        self.reserved = 0
+    def release_buffers(self):
+        """Returns the memory to the agent; closes the part file, and deletes it unless it is to be kept."""
+        self.agent.used_bytes -= self.reserved_bytes
+        self.reserved_bytes = 0
         if self.buffer is not None:
-            self.agent.spare.append(self.buffer)
+            self.agent.free_buffers.append(self.buffer)
             self.buffer = None
         if self.part is not None:
             self.receiver.memory = None
             self.part.close() if self.keep else self.part.delete()
             self.part = None
 
-    # ---- its way
+    # ---- choice of a holder
 
     def start(self):
-        """Takes up what an earlier agent left, then the way that `choose` gives."""
+        """Continues with the chunks that a previous process left, then with the best option."""
         if self.is_finished:
             return None
-        left = read_note(self.base() + PART + NOTE) if self.folder is not None else None
-        if left is None or left.name != self.name or self.agent.used_bytes + left.length > self.agent.memory_bytes:
-            return self.go_on()
+        left_manifest = read_manifest(self.base_path() + PART_SUFFIX + MANIFEST_SUFFIX) if self.folder is not None else None
+        if (
+            left_manifest is None
+            or left_manifest.name != self.name
+            or self.agent.used_bytes + left_manifest.length > self.agent.memory_bytes
+        ):
+            return self.try_next()
         try:
-            memory = self.land(Part(self.base(), left))
+            memory = self.use_part(PartFile(self.base_path(), left_manifest))
         except OSError:
-            return self.go_on()
-        self.checking = self.agent.loop.call_later(0, self.check, memory)
+            return self.try_next()
+        self.check_timer = self.agent.loop.call_later(0, self.check, memory)
 
     def check(self, memory):
+        """Checks the next slice of a part file left by a previous process."""
         if not self.part.step():
-            self.checking = self.agent.loop.call_later(0, self.check, memory)
+            self.check_timer = self.agent.loop.call_later(0, self.check, memory)
             return
-        self.checking = None
-        self.receiver.restore(self.part.manifest, memory, self.part.found)
-        self.agent.counts["chunks found again"] += self.part.found.count(1)
+        self.check_timer = None
+        self.receiver.restore(self.part.manifest, memory, self.part.verified_chunks)
+        self.agent.counts["chunks found again"] += self.part.verified_chunks.count(1)
         if not self.receiver.missing:
-            return self.whole()
-        self.go_on()
-
-    def go_on(self):
-        way = self.choose()
-        if way is None or way.holder is None:
-            return self.end(self.why_not or "no holder can give it in time", way and way.what)
-        fails = self.fails.get(way.holder, 0)
-        self.pause = self.agent.loop.call_later(PAUSES_US[min(fails, len(PAUSES_US) - 1)], self.go, way.holder)
+            return self.complete()
+        self.try_next()
+
+    def try_next(self):
+        """Continues with the best option, after a pause if the holder has failed before; fails if there is none."""
+        option = self.next_option()
+        if option is None or option.holder is None:
+            return self.finish(self.last_failure or "no holder can give it in time", option and option.what)
+        failures = self.failures.get(option.holder, 0)
+        self.retry_timer = self.agent.loop.call_later(
+            RETRY_PAUSES_US[min(failures, len(RETRY_PAUSES_US) - 1)], self.connect_to, option.holder
+        )
         return None
 
-    def ways(self, but=None):
-        """The holders that are open, but for one, and what the caller could do."""
-        agent, left, ways = self.agent, self.receiver.left(), []
+    def options(self, but=None):
+        """The usable holders, without `but`, and after a failure what the caller could do instead."""
+        agent, missing_bytes, options = self.agent, self.receiver.left(), []
         for holder in self.holders:
-            if holder in self.out or holder == but or self.corrupt.get(holder, 0) >= decide.BREAKS:
+            if holder in self.unavailable or holder == but or self.corrupt_chunks.get(holder, 0) >= decide.MAX_FAILURES:
                 continue
             window = agent.windows.get(holder)
-            ways.append(
-                decide.Way(
+            options.append(
+                decide.RecoveryOption(
                     "resume",
-                    left or 0,
+                    missing_bytes or 0,
                     window.rate if window else None,
                     0 if holder in agent.links else 2 * MS,
-                    self.fails.get(holder, 0),
+                    self.failures.get(holder, 0),
                     holder,
                 )
             )
-        if self.breaks or but is not None:  # a holder is tried first: what is left is not known before
-            worst = max(self.fails, key=self.fails.get, default=None) if but is None else but
+        if self.breaks or but is not None:  # a holder is tried first, because the size is unknown before
+            worst = max(self.failures, key=self.failures.get, default=None) if but is None else but
             length = self.receiver.manifest.length if self.receiver.manifest else 0
-            ways += decide.other_ways(self.alternatives, length, "holder" if self.gone() else agent.paths.whose(worst))
-        return ways
+            options += decide.caller_options(
+                self.alternatives, length, "holder" if self.is_unavailable() else agent.paths.faulty_side(worst)
+            )
+        return options
 
-    def gone(self):
-        """No holder has it any more."""
-        return all(h in self.out for h in self.holders)
+    def is_unavailable(self):
+        """Whether no holder has the state any more."""
+        return all(h in self.unavailable for h in self.holders)
 
-    def choose(self):
-        return decide.next_step(self.ways(), self.agent.loop.clock.now_us(), self.expires_us)
+    def next_option(self):
+        """The best option, or None."""
+        return decide.choose_option(self.options(), self.agent.loop.clock.now_us(), self.expires_us)
 
-    def go(self, holder):
+    def connect_to(self, holder):
+        """Continues at a holder."""
         if not self.is_finished:
             self.agent.attach_to_holder(holder, self)
 
     def on_link_ready(self, link):
+        """The link to the chosen holder is open."""
         link.add(self)
 
-    def look(self, now):
-        """Now and then: is it so slow that another way is better?"""
-        seen_us, had = self.seen
-        if self.link is None or not self.opened or now - max(seen_us, self.joined_us) < RATE_US:
+    def check_speed(self, now):
+        """Called periodically: switches to another option if this path is much slower."""
+        sampled_us, bytes_before = self.rate_sample
+        if self.link is None or not self.opened or now - max(sampled_us, self.link_joined_us) < RATE_WINDOW_US:
             return
-        rate = (self.gained - had) * 1e6 / (now - seen_us)
-        self.seen = now, self.gained
-        if self.leaves >= decide.LEAVES or not self.receiver.missing:
+        rate = (self.received_bytes - bytes_before) * 1e6 / (now - sampled_us)
+        self.rate_sample = now, self.received_bytes
+        if self.switches >= decide.MAX_SWITCHES or not self.receiver.missing:
             return
-        way = decide.next_step(self.ways(but=self.link.address), now, self.expires_us)
+        option = decide.choose_option(self.options(but=self.link.address), now, self.expires_us)
         left_us = self.receiver.left() * 1e6 / max(1.0, rate)
-        if way is None or not decide.worth_leaving(left_us, decide.cost_us(way)):
+        if option is None or not decide.worth_switching(left_us, decide.estimated_us(option)):
             return
-        if way.holder is None and now + left_us < self.expires_us:
-            return  # slow, but in time: refusing it would throw away what is here, and may lead to the same path again
-        self.leaves += 1
+        if option.holder is None and now + left_us < self.expires_us:
+            return  # slow but on time: giving up would discard the received chunks and may lead to the same path again
+        self.switches += 1
         self.agent.counts["left for another way"] += 1
         self.agent.log(
             "left a slow path",
             state=self.name,
-            way=way.what,
+            way=option.what,
             left_ms=round(left_us / MS),
-            other_ms=round(decide.cost_us(way) / MS),
+            other_ms=round(decide.estimated_us(option) / MS),
         )
-        self.agent.paths.told(self.link.address, False)
-        if way.holder is None:
-            return self.end(f"slow path: {way.what}", way.what)
+        self.agent.paths.record(self.link.address, False)
+        if option.holder is None:
+            return self.finish(f"slow path: {option.what}", option.what)
         self.link.drop(self)
-        self.go(way.holder)
+        self.connect_to(option.holder)
 
     def on_link_failed(self, holder, why, final=False):
+        """The link to a holder has failed. `final`: the holder does not have the state."""
         if self.is_finished:
             return
         self.breaks += 1
-        self.why_not = why
+        self.last_failure = why
         if self.agent.plain:
             self.receiver = Receiver(self.name, self.allocate)
-        self.fails[holder] = self.fails.get(holder, 0) + 1
+        self.failures[holder] = self.failures.get(holder, 0) + 1
         if final:
-            self.out.add(holder)
+            self.unavailable.add(holder)
         else:
-            self.agent.paths.told(holder, False)
+            self.agent.paths.record(holder, False)
         self.agent.counts["breaks"] += 1
-        self.go_on()
+        self.try_next()
 
-    # ---- its end
+    # ---- end of the fetch
 
-    def whole(self):
+    def complete(self):
+        """All chunks are verified."""
         if self.part is not None:
             try:
-                self.path = self.part.whole()
+                self.path = self.part.finalize()
             except OSError as problem:
-                return self.end(f"part file: {problem.strerror}")
+                return self.finish(f"part file: {problem.strerror}")
         self.memory = self.receiver.memory
-        self.end(None)
+        self.finish(None)
 
     def cancel(self):
-        """Nothing more is heard of it; its memory is given back."""
+        """Ends the fetch without calling `done`, and releases its memory."""
         self.done = None
-        self.end("cancelled")
+        self.finish("cancelled")
 
-    def end(self, why, advice=None):
+    def finish(self, why, advice=None):
+        """Ends the fetch, successfully if `why` is None."""
         if self.is_finished:
             return
         self.is_finished, self.why = True, why
-        self.timer.cancel()
-        for timer in (self.pause, self.checking):
+        self.expiry_timer.cancel()
+        for timer in (self.retry_timer, self.check_timer):
             if timer:
                 timer.cancel()
         if self.link is not None:
             self.link.drop(self)
         agent = self.agent
-        for line in agent.waiting.values():
-            if self in line:
-                line.remove(self)
+        for waiting in agent.awaiting_link.values():
+            if self in waiting:
+                waiting.remove(self)
         if why is not None:
-            # Where nobody has it any more, or its holder is in trouble, only another read helps.
-            own = not self.gone() and (why == "no room" or any(agent.paths.whose(h) == "own" for h in self.holders))
+            # If no holder has the state any more or the fault is the holder's, only reading the prompt again helps.
+            own = not self.is_unavailable() and (
+                why == "no room" or any(agent.paths.faulty_side(h) == "own" for h in self.holders)
+            )
             self.advice = advice or ("elsewhere" if own else "read anew")
             self.free()
             self.receiver = Receiver(self.name, lambda manifest: None)
         agent.counts["done" if why is None else "failed"] += 1
-        agent.ended(self)
+        agent.fetch_ended(self)
         done, self.done = self.done, None
         if done:
             done(self)
 
     def free(self):
-        """The memory is no longer counted; whoever got a whole state calls this when it is done with it. A file stays."""
+        """Releases the memory. The caller that received the state calls this when it no longer needs it. A file stays."""
         self.memory = None
         if self.path is not None:
             self.receiver.memory = None
             self.part.close()
             self.part = None
-        self.give_back()
+        self.release_buffers()
--- a/lapiswing/transfer/machine.py
+++ b/lapiswing/transfer/machine.py
@@ -1,35 +1,39 @@
-"""What one receiver and one sending connection do, without I/O.
+"""State machines of one receiver and of one sending connection, without I/O.
 
-Receiver: owns a state's memory until it is whole. A chunk counts only when its bytes fit the manifest. What is verified
-survives the connection and the sender; a sender with another root means another state, and starts over.
+Receiver: owns the memory of a state until it is complete. A chunk is accepted only if its checksum fits the manifest. Verified
+chunks survive the connection and the sender; a sender whose state has another root offers a different state, and the transfer
+starts over.
 
-Sender: what one connection has been asked for. A chunk goes out only against credit, which the receiver grants by the
-chunk: granted = sent + left, always."""
+Sender: the chunks requested on one connection. A chunk is sent only against credit, which the receiver grants in chunks:
+granted = sent + remaining credit, always."""
 
 from collections import deque
 
-from lapiswing.transfer.frames import sum_of
+from lapiswing.transfer.frames import checksum_of
 
 
 class Receiver:
-    """`memory`: a writable buffer of the state's length, which `allocate(manifest)` gives, or None where there is no
-    room."""
+    """Receives one state. `allocate(manifest)` returns a writable buffer of the state's length, or None if there is no room."""
 
     def __init__(self, name, allocate):
         self.name, self.allocate = name, allocate
         self.manifest = self.memory = None
         self.received, self.missing = bytearray(), 0
-        self.requested = {}  # chunk asked for on the present connection -> when
-        self.next, self.again = 0, deque()  # chunks from `next` on were never asked for; `again`: to be asked again
+        self.requested = {}  # chunk requested on the present connection -> time
+        self.next_index, self.retry = (
+            0,
+            deque(),
+        )  # from `next_index` on, no chunk was requested yet; `retry`: to be requested again
         self.corrupt = self.starts = 0
 
-    def take_manifest(self, manifest):
-        """-> 'new', 'same' (goes on with what it has), 'other' (starts over) or 'no room'. Raises BadFrame."""
+    def accept_manifest(self, manifest):
+        """A sender has announced its state. Returns 'new', 'same' (continues with the chunks it has), 'other' (starts over) or
+        'no room'. Raises BadFrame."""
         manifest.check()
         if self.manifest is not None and manifest.root == self.manifest.root:
             self.connection_lost()
             return "same"
-        what = "new" if self.manifest is None else "other"
+        result = "new" if self.manifest is None else "other"
         self.memory = self.manifest = None
         memory = self.allocate(manifest)
         if memory is None:
@@ -38,25 +42,25 @@
         self.received, self.missing = bytearray(manifest.count()), manifest.count()
         self.starts += 1
         self.connection_lost()
-        return what
+        return result
 
     def restore(self, manifest, memory, have):
-        """Goes on with what an earlier receiver left; `have`: 1 for each chunk whose bytes fit."""
+        """Continues with chunks that a previous process left. `have`: 1 for each verified chunk."""
         self.manifest, self.memory, self.received = manifest, memoryview(memory), bytearray(have)
         self.missing = have.count(0)
         self.starts += 1
 
     def connection_lost(self):
-        """The connection is gone: what was asked for on it is to be asked for again."""
+        """The connection is lost: chunks requested on it have to be requested again."""
         self.requested.clear()
-        self.again.clear()
-        self.next = 0
+        self.retry.clear()
+        self.next_index = 0
 
-    def ask(self, most, now_us):
-        """The next chunks to ask for, as ranges; at most `most` chunks."""
+    def request_chunks(self, max_chunks, now_us):
+        """Chooses at most `max_chunks` chunks to request, and returns them as ranges."""
         ranges = []
-        while most > 0:
-            index = self.choose()
+        while max_chunks > 0:
+            index = self.next_missing()
             if index is None:
                 break
             self.requested[index] = now_us
@@ -64,47 +68,51 @@
                 ranges[-1] = (ranges[-1][0], index + 1)
             else:
                 ranges.append((index, index + 1))
-            most -= 1
+            max_chunks -= 1
         return ranges
 
-    def choose(self):
-        while self.again:
-            index = self.again.popleft()
+    def next_missing(self):
+        """The next chunk that is neither received nor requested, or None."""
+        while self.retry:
+            index = self.retry.popleft()
             if not self.received[index] and index not in self.requested:
                 return index
-        while self.next < len(self.received):
-            index, self.next = self.next, self.next + 1
+        while self.next_index < len(self.received):
+            index, self.next_index = self.next_index, self.next_index + 1
             if not self.received[index] and index not in self.requested:
                 return index
         return None
 
-    def place(self, index):
-        """Where a chunk's bytes go, or None where it was not asked for (they are then read past)."""
+    def buffer_for(self, index):
+        """The buffer for a chunk's bytes, or None if it was not requested; its bytes are then skipped."""
         if index not in self.requested or self.received[index]:
             return None
-        at, size = self.manifest.span(index)
-        return self.memory[at : at + size]
+        offset, size = self.manifest.span(index)
+        return self.memory[offset : offset + size]
 
     def chunk_received(self, index, size):
-        """A chunk's bytes are in their place. -> 'good', 'whole' (the last one), 'corrupt' or 'unasked'."""
+        """A chunk's bytes are in the buffer. Returns 'good', 'whole' (the state is complete), 'corrupt' or 'unasked'."""
         if self.manifest is None or index not in self.requested or self.received[index]:
             return "unasked"
         del self.requested[index]
-        at, length = self.manifest.span(index)
-        if size != length or sum_of(self.memory[at : at + length]) != self.manifest.sum_of(index):
+        offset, length = self.manifest.span(index)
+        if size != length or checksum_of(self.memory[offset : offset + length]) != self.manifest.checksum_of(index):
             self.corrupt += 1
-            self.again.append(index)
+            self.retry.append(index)
             return "corrupt"
         self.received[index] = 1
         self.missing -= 1
         return "whole" if not self.missing else "good"
 
     def left(self):
-        """Bytes still missing, nearly: whole chunks."""
+        """Approximate number of missing bytes, in whole chunks; None if the size is unknown."""
         return self.missing * self.manifest.chunk if self.manifest else None
 
 
-class Sending:
+class OutgoingTransfer:
+    """One state that is being sent. `credit`: chunks that may still be sent; `verified`: chunks that the receiver has
+    reported."""
+
     __slots__ = ("transfer", "state", "priority", "queue", "credit", "granted", "sent", "verified")
 
     def __init__(self, transfer, state, priority):
@@ -113,25 +121,25 @@
 
 
 class Sender:
-    """Transfers of one connection. `next()` gives the chunk to send now: the lowest priority number first, in turn
-    among equals."""
+    """The transfers of one connection. `next_chunk()` chooses what to send: the lowest priority number first, round robin among
+    equals."""
 
-    def __init__(self, most=64):
-        self.most, self.transfers, self.turn = most, {}, deque()
+    def __init__(self, max_transfers=64):
+        self.max_transfers, self.transfers, self.round_robin = max_transfers, {}, deque()
 
     def open(self, transfer, state, priority):
-        """-> False where the connection has too many, or this number is in use."""
-        if len(self.transfers) >= self.most or transfer in self.transfers:
+        """Starts a transfer. Returns False if the connection has too many, or the number is in use."""
+        if len(self.transfers) >= self.max_transfers or transfer in self.transfers:
             return False
-        self.transfers[transfer] = Sending(transfer, state, priority)
-        self.turn.append(transfer)
+        self.transfers[transfer] = OutgoingTransfer(transfer, state, priority)
+        self.round_robin.append(transfer)
         return True
 
-    def want(self, transfer, ranges, credit, count):
-        """-> False where the receiver asks for what is not there; unknown transfers (cancelled just now) are passed
-        over."""
-        one = self.transfers.get(transfer)
-        if one is None:
+    def add_request(self, transfer, ranges, credit, count):
+        """Adds requested chunks and credit. `count`: chunks of the state. Returns False if the request is invalid. Unknown
+        transfers are ignored, as they may just have been cancelled."""
+        outgoing = self.transfers.get(transfer)
+        if outgoing is None:
             return True
         asked = 0
         for first, last in ranges:
@@ -140,27 +148,28 @@
             asked += last - first
             if asked > count:
                 return False
-            one.queue.extend(range(first, last))
-        if len(one.queue) > 2 * count:
+            outgoing.queue.extend(range(first, last))
+        if len(outgoing.queue) > 2 * count:
             return False
-        one.credit += credit
-        one.granted += credit
+        outgoing.credit += credit
+        outgoing.granted += credit
         return True
 
     def close(self, transfer):
+        """Ends a transfer."""
         if self.transfers.pop(transfer, None) is not None:
-            self.turn.remove(transfer)
+            self.round_robin.remove(transfer)
 
-    def next(self):
-        """-> (transfer, state, index) or None."""
-        ready = [t for t in self.turn if self.transfers[t].queue and self.transfers[t].credit > 0]
+    def next_chunk(self):
+        """The chunk to send now, as (transfer, state, index), or None."""
+        ready = [t for t in self.round_robin if self.transfers[t].queue and self.transfers[t].credit > 0]
         if not ready:
             return None
         best = min(self.transfers[t].priority for t in ready)
         transfer = next(t for t in ready if self.transfers[t].priority == best)
-        self.turn.remove(transfer)
-        self.turn.append(transfer)
-        one = self.transfers[transfer]
-        one.credit -= 1
-        one.sent += 1
-        return transfer, one.state, one.queue.popleft()
+        self.round_robin.remove(transfer)
+        self.round_robin.append(transfer)
+        outgoing = self.transfers[transfer]
+        outgoing.credit -= 1
+        outgoing.sent += 1
+        return transfer, outgoing.state, outgoing.queue.popleft()
--- a/lapiswing/transfer/serve.py
+++ b/lapiswing/transfer/serve.py
@@ -1,5 +1,5 @@
-"""The agent as a program of its own: a folder of states, a port for other agents, and a port on loopback for its box and its
-operators. docs/transfer.md describes both."""
+"""The transfer agent as a program: a folder of states, a port for other agents, and an HTTP port on loopback for its model server
+and for operators. docs/transfer.md describes both."""
 
 import os
 import signal
@@ -14,18 +14,18 @@
 from lapiswing.observe.metrics import CONTENT_TYPE, Metrics, counts_of
 from lapiswing.transfer.agent import Agent
 from lapiswing.transfer.certificates import CertificateError, Tls
-from lapiswing.transfer.states import NOTE, PART, file_name, read_note, remove, scan, write_note
+from lapiswing.transfer.states import MANIFEST_SUFFIX, PART_SUFFIX, file_name, read_manifest, remove, scan, write_manifest
 
 MS = 1000
-LOOK_US = 2_000_000
-DRAIN_US = 5_000_000
+CERTIFICATE_CHECK_US = 2_000_000  # interval of the checks for changed certificate files
+DRAIN_LIMIT_US = 5_000_000  # running transfers may end within this time
 
 
 class Program:
-    """`start()` raises OSError and CertificateError."""
+    """An agent with its HTTP interface. The constructor raises CertificateError, `start` OSError."""
 
     def __init__(self, settings, log, loop=None, base=".", reload_settings=None):
-        """`reload_settings()` -> settings again, for SIGHUP."""
+        """`reload_settings()` reads the settings again, for SIGHUP."""
         s = self.settings = settings
         self.log, self.base, self.reload_settings = log, base, reload_settings
         self.loop = loop or Loop(
@@ -42,17 +42,23 @@
             lambda event, **fields: log.info(event, **fields),
             tls=self.tls,
         )
-        self.agent.on_taken = self.taken
+        self.agent.on_taken = self.state_taken
         self.agent.slow_start_until_us = self.loop.clock.now_us() + s.cold_ms * MS
         self.started_us = self.loop.clock.now_us()
-        self.waiting, self.takes, self.keepers = {}, {}, {}  # name -> Wait; takes left; timers
-        self.server = Server(self.loop, self.app, Limits(body_bytes=1 << 20, idle_us=600_000_000))
-        self.metrics, self.draining, self.listener = Metrics(self.measures), False, None
+        self.pending_fetches, self.takes, self.expiry_timers = {}, {}, {}  # name -> PendingFetch; remaining takes; timer
+        self.server = Server(self.loop, self.handle_request, Limits(body_bytes=1 << 20, idle_us=600_000_000))
+        self.metrics, self.draining, self.listener = Metrics(self.collect_metrics), False, None
 
-    def make_tls(self, s):
-        if not s.HasField("tls"):
+    def make_tls(self, settings):
+        if not settings.HasField("tls"):
             return None
-        return Tls(*(os.path.join(self.base, f) for f in (s.tls.certificate_file, s.tls.key_file, s.tls.authority_file)), s.name)
+        return Tls(
+            *(
+                os.path.join(self.base, f)
+                for f in (settings.tls.certificate_file, settings.tls.key_file, settings.tls.authority_file)
+            ),
+            settings.name,
+        )
 
     def start(self):
         s = self.settings
@@ -62,17 +68,17 @@
         self.server.listener, self.control = self.listener, self.listener.address
         states, parts = scan(self.folder)
         for name in states:
-            note = read_note(self.path(name) + NOTE)
-            if note is None:
-                continue  # its box has not announced it: it may be half written
-            self.offer(
+            manifest = read_manifest(self.path(name) + MANIFEST_SUFFIX)
+            if manifest is None:
+                continue  # its model server has not announced it: it may be incomplete
+            self.serve_file(
                 name,
-                note,
+                manifest,
                 lambda state, why, name=name: why and self.log.warning("state in the folder not served", state=name, why=why),
             )
         for name in parts:
-            self.keep_part(name)
-        self.loop.call_later(LOOK_US, self.look)
+            self.start_part_expiry(name)
+        self.loop.call_later(CERTIFICATE_CHECK_US, self.check_certificates)
         self.log.info(
             "listening",
             agent=s.name,
@@ -86,12 +92,13 @@
         )
 
     def path(self, name):
+        """Path of a state's file."""
         return os.path.join(self.folder, file_name(name))
 
     # ---- states
 
-    def offer(self, name, note, done):
-        """Serves a file of the folder."""
+    def serve_file(self, name, manifest, done):
+        """Serves a file of the folder, then calls `done(state, why)`. `manifest`: the one it must match, or None."""
         path = self.path(name)
         try:
             size = os.stat(path).st_size
@@ -99,66 +106,72 @@
             return self.loop.soon(done, None, problem.strerror)
         if self.agent.used_bytes + size > self.agent.memory_bytes:
             return self.loop.soon(done, None, "no room")
-        self.agent.used_bytes += size  # counted from now on, so that two at once can't pass the bound
+        self.agent.used_bytes += size  # counted at once, so that two concurrent calls can't exceed the limit
 
-        def summed(state, why):
+        def on_manifest_built(state, why):
             if state is None:
                 self.agent.used_bytes -= size
             else:
                 state.counted = True
-                if note is None:
-                    write_note(path + NOTE, state.manifest)
-                self.keep(name)
+                if manifest is None:
+                    write_manifest(path + MANIFEST_SUFFIX, state.manifest)
+                self.start_expiry(name)
             done(state, why)
 
-        self.agent.put_file(name, path, summed, note)
+        self.agent.put_file(name, path, on_manifest_built, manifest)
 
-    def keep(self, name):
-        old = self.keepers.pop(name, None)
+    def start_expiry(self, name):
+        """Releases a state after `keep_ms`."""
+        old = self.expiry_timers.pop(name, None)
         if old:
             old.cancel()
         if self.settings.keep_ms:
-            self.keepers[name] = self.loop.call_later(self.settings.keep_ms * MS, self.let_go, name, "kept long enough")
+            self.expiry_timers[name] = self.loop.call_later(self.settings.keep_ms * MS, self.release, name, "kept long enough")
 
-    def keep_part(self, name):
-        """What is left of a move that nobody goes on with is not kept for ever."""
+    def start_part_expiry(self, name):
+        """Deletes the part file of a fetch that is not continued within `keep_ms`."""
         if self.settings.keep_ms:
-            age = time.time() - os.stat(self.path(name) + PART).st_mtime
-            self.loop.call_later(max(0, round(self.settings.keep_ms * MS - age * 1e6)), self.drop_part, name)
+            age = time.time() - os.stat(self.path(name) + PART_SUFFIX).st_mtime
+            self.loop.call_later(max(0, round(self.settings.keep_ms * MS - age * 1e6)), self.expire_part, name)
 
-    def drop_part(self, name):
-        if name not in self.waiting and remove(self.path(name) + PART):
-            remove(self.path(name) + PART + NOTE)
+    def expire_part(self, name):
+        """Deletes a part file unless its state is being fetched."""
+        if name not in self.pending_fetches and remove(self.path(name) + PART_SUFFIX):
+            remove(self.path(name) + PART_SUFFIX + MANIFEST_SUFFIX)
             self.log.info("part deleted", state=name)
 
-    def let_go(self, name, why):
+    def release(self, name, why):
+        """Stops serving a state and deletes its files. Returns whether it was known."""
         known = self.agent.drop(name)
-        timer = self.keepers.pop(name, None)
+        timer = self.expiry_timers.pop(name, None)
         if timer:
             timer.cancel()
         self.takes.pop(name, None)
         if known:
             remove(self.path(name))
-            remove(self.path(name) + NOTE)
+            remove(self.path(name) + MANIFEST_SUFFIX)
             self.log.info("let go", state=name, why=why)
         return known
 
-    def taken(self, name):
+    def state_taken(self, name):
+        """A receiver has the complete state: releases it after the announced number of takes."""
         left = self.takes.get(name)
         if left is not None:
             self.takes[name] = left - 1
             if left <= 1:
-                self.loop.soon(self.let_go, name, "taken")
+                self.loop.soon(self.release, name, "taken")
 
-    # ---- the box's side
+    # ---- HTTP interface
 
-    def app(self, exchange):
+    def handle_request(self, exchange):
+        """Answers a request, also an invalid one."""
         try:
             self.route(exchange)
         except Refused as problem:
             exchange.json(problem.status, {"error": {"message": str(problem)}})
 
     def route(self, exchange):
+        """Dispatches a request. Raises Refused."""
         path, method = exchange.path, exchange.method
         if path.startswith(b"/v1/states/"):
             name = unquote(path[11:].decode("latin-1"))
@@ -181,15 +194,15 @@
         raise Refused(404, "unknown path")
 
     def put(self, exchange, name):
-        """The box has written the file; from now on it is served, and must not change."""
+        """PUT: the model server has written the file; it is served from now on and must not change."""
         query = parse_qs(exchange.target.partition(b"?")[2].decode("latin-1"))
         try:
             takes = int(query.get("takes", ["0"])[0])
         except ValueError:
             raise Refused(400, "takes: a whole number") from None
-        if name in self.waiting:
+        if name in self.pending_fetches:
             raise Refused(409, "this state is just being fetched")
-        self.let_be(name)
+        self.withdraw(name)
 
         def done(state, why):
             if state is None:
@@ -199,39 +212,43 @@
                 )
             if takes:
                 self.takes[name] = takes
-            return exchange.json(201, row_of(state))
+            return exchange.json(201, state_row(state))
 
-        self.offer(name, None, done)
+        self.serve_file(name, None, done)
 
-    def let_be(self, name):
-        """Another file under a known name: the old state is not served any more; its file is the box's."""
+    def withdraw(self, name):
+        """Stops serving the previous state of a name. Its file stays, as the model server may have replaced it."""
         self.agent.drop(name)
         self.takes.pop(name, None)
 
     def get(self, exchange, name):
+        """GET: describes a state."""
         state = self.agent.states.get(name)
         if state is None:
             return exchange.json(404, {"error": {"message": "no such state"}, "file": self.path(name)})
-        return exchange.json(200, row_of(state) | {"file": self.path(name)})
+        return exchange.json(200, state_row(state) | {"file": self.path(name)})
 
     def delete(self, exchange, name):
-        known = self.let_go(name, "asked for")
+        """DELETE: releases a state."""
+        known = self.release(name, "asked for")
         exchange.json(200 if known else 404, {"released": known})
 
     def fetch(self, exchange):
+        """POST /v1/fetches: answers when the state is here or the fetch has failed. Raises Refused."""
         if self.draining:
             raise Refused(503, "the agent drains")
-        ask = read_ask(exchange.body)
-        state = self.agent.states.get(ask["name"])
+        request = parse_fetch_request(exchange.body)
+        state = self.agent.states.get(request["name"])
         if state is not None:
-            return exchange.json(200, row_of(state) | {"file": self.path(ask["name"]), "ms": 0, "breaks": 0})
-        wait = self.waiting.get(ask["name"])
-        if wait is None:
-            wait = self.waiting[ask["name"]] = Wait(self, ask)
-            wait.start(ask)
-        wait.join(exchange)
+            return exchange.json(200, state_row(state) | {"file": self.path(request["name"]), "ms": 0, "breaks": 0})
+        pending = self.pending_fetches.get(request["name"])
+        if pending is None:
+            pending = self.pending_fetches[request["name"]] = PendingFetch(self, request)
+            pending.start(request)
+        pending.join(exchange)
 
     def status(self):
+        """The body of /v1/status."""
         agent, now = self.agent, self.loop.clock.now_us()
         return {
             "agent": self.settings.name,
@@ -240,14 +257,14 @@
             "cold": now < agent.slow_start_until_us,
             "draining": self.draining,
             "certificate_days": self.tls.days if self.tls else None,
-            "states": [row_of(s) for s in agent.states.values()],
+            "states": [state_row(s) for s in agent.states.values()],
             "fetches": [
                 {
                     "name": f.name,
                     "bytes": f.receiver.manifest.length if f.receiver.manifest else None,
                     "left": f.receiver.left(),
                     "breaks": f.breaks,
-                    "waits": f in agent.held_back,
+                    "waits": f in agent.queued_fetches,
                     "from": list(f.link.address) if f.link else None,
                     "ms": (now - f.start_us) // MS,
                 }
@@ -270,15 +287,16 @@
                     "from": list(a),
                     "rate": w.rate,
                     "window": w.allowed(),
-                    "chunk_us": w.usual_us,
-                    "bad": round(agent.paths.bad.get(a, 0.0), 3),
+                    "chunk_us": w.typical_delay_us,
+                    "bad": round(agent.paths.failure_score.get(a, 0.0), 3),
                 }
                 for a, w in agent.windows.items()
             ],
             "counts": agent.counts,
         }
 
-    def measures(self):
+    def collect_metrics(self):
+        """Yields (name, type, help, samples) of each metric."""
         agent = self.agent
         yield from counts_of("lapiswing_transfer", agent.counts, "What this agent has sent, received and seen go wrong")
         yield (
@@ -294,7 +312,7 @@
             [
                 ({"what": "states"}, len(agent.states)),
                 ({"what": "fetches"}, len(agent.fetches)),
-                ({"what": "held back"}, len(agent.held_back)),
+                ({"what": "held back"}, len(agent.queued_fetches)),
                 ({"what": "sends"}, sum(len(s.sender.transfers) for s in agent.servers)),
             ],
         )
@@ -303,8 +321,8 @@
         for name, text, value in (
             ("rate_bytes", "Bytes a second, lately", lambda a, w: w.rate or 0),
             ("window_chunks", "Chunks that may be on their way", lambda a, w: w.allowed()),
-            ("chunk_seconds", "From asking for a chunk to having it, lately", lambda a, w: (w.usual_us or 0) / 1e6),
-            ("bad", "Part of the last moves that broke", lambda a, w: agent.paths.bad.get(a, 0.0)),
+            ("chunk_seconds", "From asking for a chunk to having it, lately", lambda a, w: (w.typical_delay_us or 0) / 1e6),
+            ("bad", "Part of the last moves that broke", lambda a, w: agent.paths.failure_score.get(a, 0.0)),
         ):
             yield (
                 f"lapiswing_transfer_path_{name}",
@@ -313,14 +331,16 @@
                 [({"holder": f"{a[0]}:{a[1]}"}, value(a, w)) for a, w in agent.windows.items()],
             )
 
-    # ---- life
+    # ---- certificates, signals, shutdown
 
-    def look(self):
-        self.loop.call_later(LOOK_US, self.look)
+    def check_certificates(self):
+        """Periodic check for changed certificate files."""
+        self.loop.call_later(CERTIFICATE_CHECK_US, self.check_certificates)
         if self.tls is not None and self.tls.changed():
-            self.renew()
+            self.reload_certificates()
 
-    def renew(self):
+    def reload_certificates(self):
+        """Reads the certificates again; if they are invalid, the present ones stay in use."""
         try:
             self.tls.reload()
             self.log.info("certificates read", days=self.tls.days)
@@ -328,17 +348,17 @@
             self.log.error("certificates can't be read; the last good ones stand", why=str(problem))
 
     def on_hangup(self):
-        """Keys and certificates again; addresses, folder and bounds count at a start only."""
+        """SIGHUP: reads keys, the memory limit and certificates again. Other settings take effect only at a start."""
         if self.reload_settings:
             try:
                 settings = self.reload_settings()
                 self.agent.keys = [k.encode() for k in settings.key]
                 self.agent.memory_bytes = settings.memory_bytes
                 self.log.info("settings read", keys=len(settings.key))
-            except Exception as problem:  # any fault in the file: what runs goes on with what it has
+            except Exception as problem:  # whatever is wrong with the file, the present settings stay in use
                 self.log.error("settings can't be read; the last ones stand", why=str(problem))
         if self.tls is not None:
-            self.renew()
+            self.reload_certificates()
 
     def watch_signals(self):
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -346,15 +366,16 @@
         self.loop.on_signal(signal.SIGHUP, self.on_hangup)
 
     def drain(self):
-        """Takes no further fetches; what moves may end. A second time: at once."""
+        """Refuses new fetches and stops when running transfers have ended, or at once if called again."""
         if self.draining:
             return self.loop.stop()
         self.draining = True
         self.log.info("draining", fetches=len(self.agent.fetches))
-        self.stop_us = self.loop.clock.now_us() + DRAIN_US
+        self.stop_us = self.loop.clock.now_us() + DRAIN_LIMIT_US
         self.wait_idle()
 
     def wait_idle(self):
+        """Stops the loop when nothing is being transferred, or after DRAIN_LIMIT_US."""
         busy = self.agent.fetches or any(s.sender.transfers for s in self.agent.servers)
         if busy and self.loop.clock.now_us() < self.stop_us:
             return self.loop.call_later(20 * MS, self.wait_idle)
@@ -362,107 +383,113 @@
         self.loop.stop()
 
     def close(self):
-        for wait in list(self.waiting.values()):
-            wait.cancel()
+        for pending in list(self.pending_fetches.values()):
+            pending.cancel()
         self.agent.close()
         if self.listener:
             self.listener.close()
         self.server.close()
 
 
-class Wait:
-    """One fetch, with all who asked for it."""
+class PendingFetch:
+    """One fetch with all HTTP requests that wait for it."""
 
-    def __init__(self, program, ask):
-        self.program, self.name, self.exchanges = program, ask["name"], []
+    def __init__(self, program, request):
+        self.program, self.name, self.exchanges = program, request["name"], []
 
-    def start(self, ask):
+    def start(self, request):
         now = self.program.loop.clock.now_us()
         alternatives = {
-            what: round(ask[key] * MS)
+            what: round(request[key] * MS)
             for what, key in (("read anew", "read_anew_ms"), ("elsewhere", "elsewhere_ms"))
-            if ask.get(key) is not None
+            if request.get(key) is not None
         }
-        self.move = self.program.agent.fetch(
+        self.running_fetch = self.program.agent.fetch(
             self.name,
-            ask["from"],
-            now + round(ask["due_ms"] * MS),
-            now + round(ask["expires_ms"] * MS),
+            request["from"],
+            now + round(request["due_ms"] * MS),
+            now + round(request["expires_ms"] * MS),
             self.done,
-            ask["priority"],
+            request["priority"],
             alternatives,
             self.program.folder,
-            ask["keep"],
+            request["keep"],
         )
 
     def join(self, exchange):
         self.exchanges.append(exchange)
-        exchange.on_left = lambda: self.left(exchange)
+        exchange.on_left = lambda: self.client_left(exchange)
 
-    def left(self, exchange):
-        """Who asked is gone; nobody else wants it: it ends, and what it has stays for a next try where that was wanted."""
+    def client_left(self, exchange):
+        """The client of a request has disconnected. The last one cancels the fetch; its chunks are kept if it asked for that."""
         self.exchanges.remove(exchange)
         if not self.exchanges:
             self.cancel()
 
     def cancel(self):
-        self.program.waiting.pop(self.name, None)
-        self.move.cancel()
-        self.tidy()
+        self.program.pending_fetches.pop(self.name, None)
+        self.running_fetch.cancel()
+        self.keep_partial_state()
 
-    def tidy(self):
-        if os.path.exists(self.program.path(self.name) + PART):
-            self.program.keep_part(self.name)
+    def keep_partial_state(self):
+        """Keeps a part file for a later attempt, for a limited time."""
+        if os.path.exists(self.program.path(self.name) + PART_SUFFIX):
+            self.program.start_part_expiry(self.name)
 
-    def done(self, move):
+    def done(self, fetch):
         program = self.program
-        program.waiting.pop(self.name, None)
-        ms = (program.loop.clock.now_us() - move.start_us) // MS
-        if move.why is None:
+        program.pending_fetches.pop(self.name, None)
+        ms = (program.loop.clock.now_us() - fetch.start_us) // MS
+        if fetch.why is None:
             try:
-                state = program.agent.adopt(move)
+                state = program.agent.adopt(fetch)
             except OSError as problem:
-                move.free()
-                return self.answer(500, {"error": {"message": str(problem)}})
-            program.keep(self.name)
-            program.log.info("fetched", state=self.name, bytes=state.manifest.length, ms=ms, breaks=move.breaks)
-            return self.answer(200, row_of(state) | {"file": move.path, "ms": ms, "breaks": move.breaks})
-        self.tidy()
-        program.log.warning("not fetched", state=self.name, why=move.why, advice=move.advice, ms=ms, breaks=move.breaks)
-        status = 507 if move.why == "no room" else 504 if move.why == "too late" else 502
-        return self.answer(status, {"error": {"message": move.why}, "advice": move.advice, "ms": ms, "breaks": move.breaks})
-
-    def answer(self, status, value):
+                fetch.free()
+                return self.respond_all(500, {"error": {"message": str(problem)}})
+            program.start_expiry(self.name)
+            program.log.info("fetched", state=self.name, bytes=state.manifest.length, ms=ms, breaks=fetch.breaks)
+            return self.respond_all(200, state_row(state) | {"file": fetch.path, "ms": ms, "breaks": fetch.breaks})
+        self.keep_partial_state()
+        program.log.warning("not fetched", state=self.name, why=fetch.why, advice=fetch.advice, ms=ms, breaks=fetch.breaks)
+        status = 507 if fetch.why == "no room" else 504 if fetch.why == "too late" else 502
+        return self.respond_all(
+            status, {"error": {"message": fetch.why}, "advice": fetch.advice, "ms": ms, "breaks": fetch.breaks}
+        )
+
+    def respond_all(self, status, value):
+        """Answers all waiting requests."""
         exchanges, self.exchanges = self.exchanges, []
         for exchange in exchanges:
             exchange.json(status, value)
 
 
 class Refused(Exception):
+    """A request that is refused with an HTTP status and a reason."""
+
     def __init__(self, status, why):
         super().__init__(why)
         self.status = status
 
 
-def read_ask(body):
-    """The body of a fetch, with defaults. Raises Refused."""
+def parse_fetch_request(body):
+    """Checks the body of a fetch request and adds defaults. Raises Refused."""
     try:
-        ask = orjson.loads(body)
+        request = orjson.loads(body)
     except ValueError:
         raise Refused(400, "no JSON") from None
-    if not isinstance(ask, dict) or not isinstance(ask.get("name"), str):
+    if not isinstance(request, dict) or not isinstance(request.get("name"), str):
         raise Refused(400, "name: a text is wanted")
     try:
-        file_name(ask["name"])
+        file_name(request["name"])
     except ValueError as problem:
         raise Refused(400, f"name: {problem}") from None
     try:
-        holders = [address_of(a) for a in ask["from"]]
+        holders = [address_of(a) for a in request["from"]]
         if not holders:
             raise ValueError
     except (KeyError, TypeError, ValueError, AttributeError):
         raise Refused(400, "from: a list of host:port is wanted") from None
-    out = {"name": ask["name"], "from": holders, "keep": bool(ask.get("keep", True))}
+    out = {"name": request["name"], "from": holders, "keep": bool(request.get("keep", True))}
     for field, default, low, high in (
         ("due_ms", 1000, 0, 86_400_000),
         ("expires_ms", 10_000, 1, 86_400_000),
@@ -470,32 +497,33 @@
         ("read_anew_ms", None, 0, 86_400_000),
         ("elsewhere_ms", None, 0, 86_400_000),
     ):
-        value = ask.get(field, default)
+        value = request.get(field, default)
         if value is not None and (isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high):
             raise Refused(400, f"{field}: a number from {low} to {high} is wanted")
         out[field] = value
     return out
 
 
-def row_of(state):
+def state_row(state):
+    """A state as the HTTP interface describes it."""
     m = state.manifest
     return {"name": state.name, "bytes": m.length, "chunks": m.count(), "chunk_bytes": m.chunk, "root": m.root.hex()}
 
 
 def folder_rows(folder):
-    """What lies in an agent's folder, read without an agent. Raises OSError."""
+    """The states in an agent's folder, read without an agent. Raises OSError."""
     rows = []
     for file in sorted(os.listdir(folder)):
-        if file.endswith(NOTE):
-            note, base = read_note(os.path.join(folder, file)), file[: -len(NOTE)]
-            at = Path(folder, base)
+        if file.endswith(MANIFEST_SUFFIX):
+            manifest, base = read_manifest(os.path.join(folder, file)), file[: -len(MANIFEST_SUFFIX)]
+            path = Path(folder, base)
             rows.append(
                 {
-                    "name": unquote(base.removesuffix(PART)),
-                    "part": base.endswith(PART),
-                    "bytes": note.length if note else None,
-                    "root": note.root.hex() if note else None,
-                    "here": at.stat().st_size if at.exists() else 0,
+                    "name": unquote(base.removesuffix(PART_SUFFIX)),
+                    "part": base.endswith(PART_SUFFIX),
+                    "bytes": manifest.length if manifest else None,
+                    "root": manifest.root.hex() if manifest else None,
+                    "here": path.stat().st_size if path.exists() else 0,
                 }
             )
     return rows
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -9,8 +9,8 @@
 from lapiswing.loop import Clock, Loop
 from lapiswing.standin.relay import Relay
 from lapiswing.transfer.agent import Agent
-from lapiswing.transfer.frames import ERROR, HEADER, MANIFEST, Error, control, data_head, manifest_of
-from lapiswing.transfer.peers import FEATURES, Server
+from lapiswing.transfer.frames import ERROR, HEADER, MANIFEST, Error, encode_control, encode_data_header, manifest_of
+from lapiswing.transfer.peers import FEATURES, ServingPeer
 
 S = 1_000_000
 CHUNK = 16 << 10
@@ -58,8 +58,8 @@
 
     def check_nothing_held(self):
         assert not self.b.fetches and not any(link.fetches for link in self.b.links.values())
-        assert self.b.used_bytes == sum(f.reserved for f in self.ended if f.why is None)
-        assert not any(line for line in self.b.waiting.values())
+        assert self.b.used_bytes == sum(f.reserved_bytes for f in self.ended if f.why is None)
+        assert not any(line for line in self.b.awaiting_link.values())
 
 
 def test_a_state_arrives_whole_and_is_counted_until_it_is_freed():
@@ -87,9 +87,9 @@
 def offsets():
     lab = Lab()
     state = lab.senders[0].put("s", random.Random(1).randbytes(20 * CHUNK))
-    hello, auth = len(control(1, 0, [1, "a0", FEATURES, b"n" * 16])), 20 + 2 + 33
+    hello, auth = len(encode_control(1, 0, [1, "a0", FEATURES, b"n" * 16])), 20 + 2 + 33
     lab.__exit__()
-    manifest = len(control(MANIFEST, 1, state.manifest))
+    manifest = len(encode_control(MANIFEST, 1, state.manifest))
     first = hello + auth
     return {
         "hello": 25,
@@ -284,13 +284,13 @@
         lab.relays[0].rate = 1_000_000
         one = lab.fetch("a", holders=[lab.relays[0].address])
         link = lab.b.links
-        lab.until(lambda: any(x.frames.filling for x in link.values()))
+        lab.until(lambda: any(x.frames.partial_chunk for x in link.values()))
         old = next(iter(link.values()))
         one.cancel()
         two = lab.end(lab.fetch("b", holders=[lab.relays[1].address]))
-        assert len(lab.b.spare) == 0, "the freed memory was not used again: nothing is shown"
+        assert len(lab.b.free_buffers) == 0, "the freed memory was not used again: nothing is shown"
         lab.relays[0].rate = None
-        lab.until(lambda: not old.frames.skip and not old.frames.filling and lab.relays[0].passed > large)
+        lab.until(lambda: not old.frames.skip_bytes and not old.frames.partial_chunk and lab.relays[0].passed > large)
         assert two.memory == data and two.memory.tobytes() == data
 
 
@@ -342,7 +342,7 @@
         fetches[4].cancel()
         lab.until(lambda: all(f.is_finished for f in fetches))
         lab.check_nothing_held()
-        assert not lab.b.held_back
+        assert not lab.b.queued_fetches
 
 
 def test_progress_is_told_and_the_list_of_states_can_be_asked_for():
@@ -373,7 +373,7 @@
         assert lab.end(f).memory == data and not taken
         lab.until(lambda: taken)
         assert taken == ["s"]
-        lab.until(lambda: not any(link.unheard for link in lab.b.links.values()))
+        lab.until(lambda: not any(link.unacknowledged for link in lab.b.links.values()))
 
 
 def test_the_word_to_a_holder_that_is_gone_is_given_up():
@@ -383,7 +383,7 @@
         f.done = lambda f: (lab.relays[0].close(), lab.senders[0].close())
         lab.end(f)
         lab.until(lambda: lab.b.counts["words lost"] == 1)
-        assert not lab.b.links and not lab.b.dialling
+        assert not lab.b.links and not lab.b.connecting
 
 
 @pytest.mark.parametrize("keys", [[b"other"], []])
@@ -413,8 +413,8 @@
         self.lab = lab
         lying = self
 
-        class Lying(Server):
-            def take(self, kind, transfer, value):
+        class Lying(ServingPeer):
+            def handle_frame(self, kind, transfer, value):
                 answer(lying, self, kind, transfer, value)
 
         self.agent = Agent(lab.loop, "liar", [b"key"], chunk=CHUNK)
@@ -437,7 +437,7 @@
     if kind == 3:
         server.send(MANIFEST, transfer, manifest_of("s", b"x" * (3 * CHUNK), CHUNK))
     elif kind == 5:
-        server.stream.write(data_head(transfer, 0, 10) + b"y" * 10)
+        server.stream.write(encode_data_header(transfer, 0, 10) + b"y" * 10)
 
 
 def lie_nothing(_, server, kind, transfer, value):
--- a/tests/test_transfer_files.py
+++ b/tests/test_transfer_files.py
@@ -12,7 +12,7 @@
 from lapiswing.transfer.agent import Agent
 from lapiswing.transfer.certificates import CertificateError, Tls, check, issue, make_authority, utc_now
 from lapiswing.transfer.frames import manifest_of, root_of
-from lapiswing.transfer.states import NOTE, PART, Part, file_name, read_note, scan, write_note
+from lapiswing.transfer.states import MANIFEST_SUFFIX, PART_SUFFIX, PartFile, file_name, read_manifest, scan, write_manifest
 
 
 def put_file(lab, agent, name, path, manifest=None):
@@ -129,7 +129,7 @@
 def test_chunks_that_were_damaged_on_the_disk_are_fetched_again(tmp_path):
     with Lab() as lab:
         data = lab.put("s", 50 * CHUNK)
-        part = Part(str(tmp_path / "s"), lab.senders[0].states["s"].manifest)
+        part = PartFile(str(tmp_path / "s"), lab.senders[0].states["s"].manifest)
         part.map[: 30 * CHUNK] = data[: 30 * CHUNK]
         part.map[7 * CHUNK + 3] ^= 1
         part.close()
@@ -141,7 +141,7 @@
 def test_a_part_of_another_state_under_the_same_name_starts_over(tmp_path):
     with Lab() as lab:
         old = manifest_of("s", data_of(50 * CHUNK, 9), CHUNK)
-        part = Part(str(tmp_path / "s"), old)
+        part = PartFile(str(tmp_path / "s"), old)
         part.map[:] = data_of(50 * CHUNK, 9)
         part.map[5] ^= 1
         part.close()
@@ -193,7 +193,7 @@
             f = lab.fetch("s", folder=folder)
             best = 9e9
             for _ in range(3):
-                lab.b.spare.clear()
+                lab.b.free_buffers.clear()
                 start = time.perf_counter()
                 assert f.receiver.allocate(big) is not None
                 best = min(best, time.perf_counter() - start)
@@ -205,27 +205,27 @@
     """What a crash after each step of landing leaves behind."""
     base = str(folder / "s")
     if step == "before the manifest":
-        Path(base + PART).write_bytes(b"\0" * len(data))
+        Path(base + PART_SUFFIX).write_bytes(b"\0" * len(data))
     elif step == "manifest half written":
-        Path(base + PART).write_bytes(b"\0" * len(data))
-        Path(base + PART + NOTE + ".new").write_bytes(b"half")
+        Path(base + PART_SUFFIX).write_bytes(b"\0" * len(data))
+        Path(base + PART_SUFFIX + MANIFEST_SUFFIX + ".new").write_bytes(b"half")
     elif step == "manifest damaged":
-        Path(base + PART).write_bytes(data)
-        write_note(base + PART + NOTE, manifest)
-        raw = bytearray(Path(base + PART + NOTE).read_bytes())
+        Path(base + PART_SUFFIX).write_bytes(data)
+        write_manifest(base + PART_SUFFIX + MANIFEST_SUFFIX, manifest)
+        raw = bytearray(Path(base + PART_SUFFIX + MANIFEST_SUFFIX).read_bytes())
         raw[-3] ^= 4
-        Path(base + PART + NOTE).write_bytes(raw)
+        Path(base + PART_SUFFIX + MANIFEST_SUFFIX).write_bytes(raw)
     elif step == "all chunks, not renamed":
-        Path(base + PART).write_bytes(data)
-        write_note(base + PART + NOTE, manifest)
+        Path(base + PART_SUFFIX).write_bytes(data)
+        write_manifest(base + PART_SUFFIX + MANIFEST_SUFFIX, manifest)
     elif step == "between the renames":
-        Path(base + PART).write_bytes(data)
-        write_note(base + NOTE, manifest)
+        Path(base + PART_SUFFIX).write_bytes(data)
+        write_manifest(base + MANIFEST_SUFFIX, manifest)
     elif step == "manifest alone":
-        write_note(base + NOTE, manifest)
+        write_manifest(base + MANIFEST_SUFFIX, manifest)
     elif step == "whole":
         Path(base).write_bytes(data)
-        write_note(base + NOTE, manifest)
+        write_manifest(base + MANIFEST_SUFFIX, manifest)
 
 
 STEPS = {
@@ -249,7 +249,7 @@
             f = lab.end(lab.fetch("s", folder=tmp_path))
             assert Path(f.path).read_bytes() == data
             assert (lab.b.counts["chunks received"] == 0) == (found == ([], ["s"]))
-        assert read_note(str(tmp_path / "s") + NOTE).root == lab.senders[0].states["s"].manifest.root
+        assert read_manifest(str(tmp_path / "s") + MANIFEST_SUFFIX).root == lab.senders[0].states["s"].manifest.root
         assert sorted(os.listdir(tmp_path)) == ["s", "s.manifest"]
 
 
--- a/tests/test_transfer_machine.py
+++ b/tests/test_transfer_machine.py
@@ -5,7 +5,17 @@
 import pytest
 
 from lapiswing.transfer import decide
-from lapiswing.transfer.decide import Move, Paths, Way, Window, admit, next_step, order, other_ways, worth_leaving
+from lapiswing.transfer.decide import (
+    Move,
+    PathHealth,
+    RecoveryOption,
+    Window,
+    admitted_moves,
+    caller_options,
+    choose_option,
+    order_moves,
+    worth_switching,
+)
 from lapiswing.transfer.frames import BadFrame, Manifest, manifest_of, read_control, read_header
 from lapiswing.transfer.machine import Receiver, Sender
 
@@ -27,14 +37,14 @@
 
     def build(have, out):
         r = Receiver("s", lambda m: bytearray(m.length))
-        r.take_manifest(manifest)
+        r.accept_manifest(manifest)
         for i in range(4):
             if have[i]:
                 at, size = manifest.span(i)
                 r.memory[at : at + size] = content[at : at + size]
                 r.received[i], r.missing = 1, r.missing - 1
         r.requested = dict.fromkeys(out, 0)
-        r.next = 0
+        r.next_index = 0
         return r
 
     def moves(node):
@@ -42,13 +52,13 @@
         r = build(have, out)
         for most in (1, 2):
             r2 = build(have, out)
-            asked = [i for a, b in r2.ask(most, 0) for i in range(a, b)]
+            asked = [i for a, b in r2.request_chunks(most, 0) for i in range(a, b)]
             if asked:
                 s = Sender()
                 s.open(1, None, 0)
                 one = s.transfers[1]
                 one.queue, one.credit, one.granted = deque(queue), credit, credit
-                assert s.want(1, [(i, i + 1) for i in asked], len(asked), 4)
+                assert s.add_request(1, [(i, i + 1) for i in asked], len(asked), 4)
                 assert one.granted == one.sent + one.credit
                 yield (have, frozenset(r2.requested), tuple(one.queue), wire, one.credit, losses, damages)
         if queue and credit:
@@ -56,13 +66,13 @@
             s.open(1, None, 0)
             one = s.transfers[1]
             one.queue, one.credit = deque(queue), credit
-            _, _, index = s.next()
+            _, _, index = s.next_chunk()
             yield (have, out, tuple(one.queue), (*wire, index), one.credit, losses, damages)
         if wire:
             for bad in (False, True) if damages else (False,):
                 r = build(have, out)
                 index = wire[0]
-                place = r.place(index)
+                place = r.buffer_for(index)
                 at, size = manifest.span(index)
                 if place is not None:
                     place[:] = b"\xff\xff" if bad else content[at : at + size]
@@ -101,23 +111,23 @@
 
 def test_resumption_by_root():
     r = Receiver("s", lambda m: bytearray(m.length))
-    assert r.take_manifest(state(4)) == "new"
-    r.ask(2, 0)
-    r.place(0)[:] = bytes([1, 2])
+    assert r.accept_manifest(state(4)) == "new"
+    r.request_chunks(2, 0)
+    r.buffer_for(0)[:] = bytes([1, 2])
     assert r.chunk_received(0, 2) == "good"
-    assert r.take_manifest(state(4)) == "same" and r.missing == 3 and r.ask(9, 0) == [(1, 4)]
-    assert r.take_manifest(state(5)) == "other" and r.missing == 5
+    assert r.accept_manifest(state(4)) == "same" and r.missing == 3 and r.request_chunks(9, 0) == [(1, 4)]
+    assert r.accept_manifest(state(5)) == "other" and r.missing == 5
     full = Receiver("s", lambda n: None)
-    assert full.take_manifest(state(4)) == "no room" and full.manifest is None
+    assert full.accept_manifest(state(4)) == "no room" and full.manifest is None
 
 
 def test_priorities_and_turns_of_a_sender():
-    s = Sender(most=3)
+    s = Sender(max_transfers=3)
     for t, p in ((1, 5), (2, 5), (3, 1)):
-        assert s.open(t, f"s{t}", p) and s.want(t, [(0, 2)], 2, 9)
+        assert s.open(t, f"s{t}", p) and s.add_request(t, [(0, 2)], 2, 9)
     assert not s.open(4, "s4", 1)
-    assert [s.next()[0] for _ in range(6)] == [3, 3, 1, 2, 1, 2] and s.next() is None
-    assert not s.want(1, [(8, 10)], 1, 9) and s.want(77, [(0, 1)], 1, 9)
+    assert [s.next_chunk()[0] for _ in range(6)] == [3, 3, 1, 2, 1, 2] and s.next_chunk() is None
+    assert not s.add_request(1, [(8, 10)], 1, 9) and s.add_request(77, [(0, 1)], 1, 9)
 
 
 def test_manifests_that_do_not_fit_together():
@@ -136,17 +146,17 @@
 def test_the_window_grows_while_delay_does_not():
     w = Window()
     for _ in range(150):
-        w.chunk(10 * MS, 1000, w.allowed())
+        w.chunk_verified(10 * MS, 1000, w.allowed())
     assert w.allowed() > 20
     large = w.allowed()
     for _ in range(49):
-        w.chunk(60 * MS, 1000, w.allowed())  # a queue stands
+        w.chunk_verified(60 * MS, 1000, w.allowed())  # a queue stands
     assert w.allowed() < large / 1.5
     for _ in range(800):
-        w.chunk(60 * MS, 1000, w.allowed())  # no: the path has become longer, and that is learnt
+        w.chunk_verified(60 * MS, 1000, w.allowed())  # no: the path has become longer, and that is learnt
     assert w.allowed() > 20
-    w.broke()
-    assert w.stall_us() >= decide.STALL_US
+    w.on_connection_lost()
+    assert w.stall_timeout_us() >= decide.MIN_STALL_US
 
 
 def test_a_queue_of_its_own_making_is_not_taken_for_the_path():
@@ -154,7 +164,7 @@
     was one with the queue in it."""
     w, sizes = Window(), []
     for _ in range(5000):
-        w.chunk(5 * MS + w.allowed() * 10 * MS, 1 << 20, w.allowed())
+        w.chunk_verified(5 * MS + w.allowed() * 10 * MS, 1 << 20, w.allowed())
         sizes.append(w.allowed())
     assert max(sizes[400:]) <= 6 and sum(sizes) / len(sizes) > 2
 
@@ -168,39 +178,42 @@
         Move("most urgent", 150 * MS, 1_000_000),
         Move("lost", 50 * MS, 10_000_000),
     ]
-    assert order(moves, now, rate) == ["most urgent", "urgent", "small, time enough", "big, time enough", "lost"]
-    assert [admit(running, 5, True) for running in range(4)] == [2, 1, 0, 0] and admit(7, 5, False) == 5
+    assert order_moves(moves, now, rate) == ["most urgent", "urgent", "small, time enough", "big, time enough", "lost"]
+    assert [admitted_moves(running, 5, True) for running in range(4)] == [2, 1, 0, 0] and admitted_moves(7, 5, False) == 5
 
 
 def test_what_is_done_when_a_move_breaks():
     ways = [
-        Way("resume", 10_000_000, 10e6, 2 * MS, 0, "a"),
-        Way("other holder", 10_000_000, 40e6, 5 * MS, 0, "b"),
-        Way("read anew", 0, None, 800 * MS),
+        RecoveryOption("resume", 10_000_000, 10e6, 2 * MS, 0, "a"),
+        RecoveryOption("other holder", 10_000_000, 40e6, 5 * MS, 0, "b"),
+        RecoveryOption("read anew", 0, None, 800 * MS),
     ]
-    assert next_step(ways, 0, 5_000 * MS).holder == "b"
-    assert next_step([ways[0], ways[2]], 0, 5_000 * MS).what == "read anew"
+    assert choose_option(ways, 0, 5_000 * MS).holder == "b"
+    assert choose_option([ways[0], ways[2]], 0, 5_000 * MS).what == "read anew"
     # Near its end the rest is cheaper than anything else, until it has failed too often.
-    near = Way("resume", 100_000, 10e6, 2 * MS, 1, "a")
-    assert next_step([near, *ways[1:]], 0, 5_000 * MS) is near
-    assert next_step([near._replace(fails=decide.BREAKS), ways[2]], 0, 5_000 * MS).what == "read anew"
-    assert next_step(ways, 0, 100 * MS) is None
+    near = RecoveryOption("resume", 100_000, 10e6, 2 * MS, 1, "a")
+    assert choose_option([near, *ways[1:]], 0, 5_000 * MS) is near
+    assert choose_option([near._replace(fails=decide.MAX_FAILURES), ways[2]], 0, 5_000 * MS).what == "read anew"
+    assert choose_option(ways, 0, 100 * MS) is None
 
 
 def test_whose_trouble_it_is_decides_what_else_could_be_done():
-    alternatives, paths = {"read anew": 800 * MS, "elsewhere": 30 * MS}, Paths()
-    assert paths.whose("a") is None and [w.what for w in other_ways(alternatives, 10, None)] == ["read anew", "elsewhere"]
+    alternatives, paths = {"read anew": 800 * MS, "elsewhere": 30 * MS}, PathHealth()
+    assert paths.faulty_side("a") is None and [w.what for w in caller_options(alternatives, 10, None)] == [
+        "read anew",
+        "elsewhere",
+    ]
     for _ in range(3):
-        paths.told("a", False)
-        paths.told("b", True)
-    assert paths.whose("a") == "holder" and [w.what for w in other_ways(alternatives, 10, "holder")] == ["read anew"]
+        paths.record("a", False)
+        paths.record("b", True)
+    assert paths.faulty_side("a") == "holder" and [w.what for w in caller_options(alternatives, 10, "holder")] == ["read anew"]
     for _ in range(4):
-        paths.told("b", False)
-        paths.told("c", False)
-    assert paths.whose("a") == "own" and [w.what for w in other_ways(alternatives, 10, "own")] == ["elsewhere"]
-    assert paths.whose("never met") is None
+        paths.record("b", False)
+        paths.record("c", False)
+    assert paths.faulty_side("a") == "own" and [w.what for w in caller_options(alternatives, 10, "own")] == ["elsewhere"]
+    assert paths.faulty_side("never met") is None
 
 
 def test_a_slow_move_is_left_only_for_something_much_better():
-    assert not worth_leaving(500 * MS, 300 * MS) and worth_leaving(800 * MS, 300 * MS)
-    assert not worth_leaving(90 * MS, 0)  # nearly there
+    assert not worth_switching(500 * MS, 300 * MS) and worth_switching(800 * MS, 300 * MS)
+    assert not worth_switching(90 * MS, 0)  # nearly there
--- a/tests/test_transfer_program.py
+++ b/tests/test_transfer_program.py
@@ -19,7 +19,7 @@
 from lapiswing.observe import start_logs
 from lapiswing.settings import SettingsError, load_agent
 from lapiswing.standin.relay import Relay
-from lapiswing.transfer.serve import Program, Refused, read_ask
+from lapiswing.transfer.serve import Program, Refused, parse_fetch_request
 
 KEY = "0123456789abcdef0123456789abcdef"
 
@@ -247,7 +247,7 @@
 )
 def test_bad_asks_get_a_reason(value, reason):
     with pytest.raises(Refused, match=reason):
-        read_ask(json.dumps(value).encode() if value is not None else b"{")
+        parse_fetch_request(json.dumps(value).encode() if value is not None else b"{")
 
 
 def test_paths_methods_and_names_that_are_no_good(inside):
@@ -265,12 +265,12 @@
     ask = {"name": "s", "from": [f"127.0.0.1:{held.address[1]}"], "expires_ms": 60_000}
     one, first = p.ask("POST", "/v1/fetches", ask)
     two, second = p.ask("POST", "/v1/fetches", ask)
-    p.until(lambda: len(p.program.waiting) == 1 and len(next(iter(p.program.waiting.values())).exchanges) == 2)
+    p.until(lambda: len(p.program.pending_fetches) == 1 and len(next(iter(p.program.pending_fetches.values())).exchanges) == 2)
     first.cancel()
-    p.until(lambda: len(next(iter(p.program.waiting.values())).exchanges) == 1)
+    p.until(lambda: len(next(iter(p.program.pending_fetches.values())).exchanges) == 1)
     assert len(p.agent.fetches) == 1
     second.cancel()
-    p.until(lambda: not p.program.waiting)
+    p.until(lambda: not p.program.pending_fetches)
     assert not p.agent.fetches and not one and not two
     held.close()
 
