--- a/lapiswing/tasks/__init__.py
+++ b/lapiswing/tasks/__init__.py
@@ -1,7 +1,7 @@
-"""Background work on the loop, in slices, by priority and under budgets.
+"""Background tasks on the event loop, run in slices by priority and within time budgets.
 
-decide   whose slice is next, and whether there is time for one at all; pure
-run      the doing part"""
+decide   which task runs next, and whether there is time for it; no I/O
+run      runs the tasks"""
 
 from lapiswing.tasks.run import Tasks
 
--- a/lapiswing/tasks/decide.py
+++ b/lapiswing/tasks/decide.py
@@ -1,91 +1,96 @@
-"""Whose slice is next, and whether there is time for one at all. No I/O, no clock.
+"""Decides which job runs its next slice, and whether there is time for one. No I/O, no clock.
 
-A job has a priority (1 goes first), a share of time that it may take over a while, bytes a second that it may move, and maybe a time
-by which it should be done. All together may take `BUDGET_US` of a turn of the loop; when the loop's own work makes turns long, less,
-down to nothing. What has waited for `STARVED_US` gets a slice all the same: a low priority is late, never forgotten."""
+A job has a priority (1 goes first), a share of time that it may use, a limit of bytes per second that it may move, and optionally
+a time by which it should be done. All jobs together may use TURN_BUDGET_US of a turn of the loop, and less, down to nothing, when
+the loop's own work makes its turns long. A job that has waited for MAX_WAIT_US gets a slice in any case, so that no job
+starves."""
 
 MS = 1000
-BUDGET_US = 300
-CALM_US, LONG_US = 5 * MS, 25 * MS  # turns up to the one leave the whole budget, from the other on none
-STARVED_US = 2_000 * MS
-SPAN_US = 1_000 * MS  # over which shares are kept
+TURN_BUDGET_US = 300  # for all jobs together
+SHORT_TURN_US, LONG_TURN_US = 5 * MS, 25 * MS  # up to the first the whole budget is available, from the second on none
+MAX_WAIT_US = 2_000 * MS  # between two slices of a job
+SHARE_WINDOW_US = 1_000 * MS  # over which shares of time are enforced
 
 
 class Job:
+    """Limits and consumption of one background task. Shares and bytes are token buckets."""
+
     __slots__ = (
         "name",
         "priority",
         "share",
-        "bytes_s",
+        "bytes_per_s",
         "due_us",
         "added_us",
-        "ran_us",
-        "left_us",
-        "left_bytes",
-        "at_us",
+        "last_run_us",
+        "share_left_us",
+        "bytes_left",
+        "refilled_us",
         "slices",
         "spent_us",
-        "moved",
+        "moved_bytes",
     )
 
-    def __init__(self, name, priority, now_us, share=1.0, bytes_s=None, due_us=None):
-        self.name, self.priority, self.share, self.bytes_s, self.due_us = name, priority, share, bytes_s, due_us
-        self.added_us = self.ran_us = self.at_us = now_us
-        self.left_us, self.left_bytes = share * SPAN_US, float(bytes_s or 0)
-        self.slices = self.spent_us = self.moved = 0
+    def __init__(self, name, priority, now_us, share=1.0, bytes_per_s=None, due_us=None):
+        self.name, self.priority, self.share, self.bytes_per_s, self.due_us = name, priority, share, bytes_per_s, due_us
+        self.added_us = self.last_run_us = self.refilled_us = now_us
+        self.share_left_us, self.bytes_left = share * SHARE_WINDOW_US, float(bytes_per_s or 0)
+        self.slices = self.spent_us = self.moved_bytes = 0
 
     def refill(self, now_us):
-        past = now_us - self.at_us
-        self.at_us = now_us
-        self.left_us = min(self.share * SPAN_US, self.left_us + past * self.share)
-        if self.bytes_s:
-            self.left_bytes = min(float(self.bytes_s), self.left_bytes + past * self.bytes_s / 1e6)
+        """Adds the share and bytes earned since the last call."""
+        elapsed_us = now_us - self.refilled_us
+        self.refilled_us = now_us
+        self.share_left_us = min(self.share * SHARE_WINDOW_US, self.share_left_us + elapsed_us * self.share)
+        if self.bytes_per_s:
+            self.bytes_left = min(float(self.bytes_per_s), self.bytes_left + elapsed_us * self.bytes_per_s / 1e6)
 
-    def may(self):
-        return self.left_us > 0 and (not self.bytes_s or self.left_bytes > 0)
+    def can_run(self):
+        """Whether it has time and bytes left."""
+        return self.share_left_us > 0 and (not self.bytes_per_s or self.bytes_left > 0)
 
 
 def budget_us(turn_us):
-    """How much of this turn background work may take, when the loop's own work in it took `turn_us`."""
-    if turn_us <= CALM_US:
-        return BUDGET_US
-    return max(0, BUDGET_US * (LONG_US - turn_us) // (LONG_US - CALM_US))
+    """Time for background work in a turn whose own work took `turn_us`."""
+    if turn_us <= SHORT_TURN_US:
+        return TURN_BUDGET_US
+    return max(0, TURN_BUDGET_US * (LONG_TURN_US - turn_us) // (LONG_TURN_US - SHORT_TURN_US))
 
 
-def choose(jobs, now_us, left_us):
-    """-> the job whose slice is next, or None. `left_us` of the turn's budget are left."""
+def choose_job(jobs, now_us, left_us):
+    """The job that runs its next slice, or None. `left_us`: what is left of the turn's budget."""
     for job in jobs:
         job.refill(now_us)
-    starved = [j for j in jobs if now_us - j.ran_us >= STARVED_US]
+    starved = [job for job in jobs if now_us - job.last_run_us >= MAX_WAIT_US]
     if starved:
-        return min(starved, key=lambda j: (j.ran_us, j.priority))
+        return min(starved, key=lambda job: (job.last_run_us, job.priority))
     if left_us <= 0:
         return None
-    ready = [j for j in jobs if j.may()]
-    # One that would be late goes first, the earliest due before the others.
-    late = [j for j in ready if j.due_us is not None and now_us >= j.due_us - SPAN_US]
-    if late:
-        return min(late, key=lambda j: j.due_us)
-    return min(ready, key=lambda j: (j.priority, j.ran_us), default=None)
-
-
-def ran(job, now_us, took_us, moved):
-    """A slice of it took so long, and moved so many bytes."""
-    job.ran_us = now_us
-    job.left_us -= took_us
-    job.left_bytes -= moved
+    ready = [job for job in jobs if job.can_run()]
+    # Jobs that are due soon go first, the earliest due before the others.
+    due_soon = [job for job in ready if job.due_us is not None and now_us >= job.due_us - SHARE_WINDOW_US]
+    if due_soon:
+        return min(due_soon, key=lambda job: job.due_us)
+    return min(ready, key=lambda job: (job.priority, job.last_run_us), default=None)
+
+
+def record_slice(job, now_us, took_us, moved_bytes):
+    """Accounts for a slice that took `took_us` and moved `moved_bytes` bytes."""
+    job.last_run_us = now_us
+    job.share_left_us -= took_us
+    job.bytes_left -= moved_bytes
     job.slices += 1
     job.spent_us += took_us
-    job.moved += moved
+    job.moved_bytes += moved_bytes
 
 
-def next_look_us(jobs, now_us):
-    """When none may run now: how long until one may, so that the loop need not turn for nothing."""
+def next_check_us(jobs, now_us):
+    """If no job may run now, the time until one may, so that the loop can sleep until then."""
     waits = [
         max(
-            0 if j.left_us > 0 else -j.left_us / j.share,
-            0 if not j.bytes_s or j.left_bytes > 0 else -j.left_bytes / j.bytes_s * 1e6,
+            0 if job.share_left_us > 0 else -job.share_left_us / job.share,
+            0 if not job.bytes_per_s or job.bytes_left > 0 else -job.bytes_left / job.bytes_per_s * 1e6,
         )
-        for j in jobs
+        for job in jobs
     ]
-    return max(1000, min(int(min(waits, default=SPAN_US)) + 1000, 50_000))
+    return max(1000, min(int(min(waits, default=SHARE_WINDOW_US)) + 1000, 50_000))
--- a/lapiswing/tasks/run.py
+++ b/lapiswing/tasks/run.py
@@ -1,18 +1,20 @@
-"""Runs generators in slices at the end of the loop's turns. A generator yields after each slice of its work; a number that it yields
-counts as bytes that it moved, and `False` says that it waits for something and has nothing to do just now.
+"""Runs generators in slices at the end of the loop's turns. A generator yields after each slice of its work: a number of bytes
+that it moved, or `False` if it waits for something and has nothing to do at present.
 
-    job = tasks.add("compaction", engine.compact(), priority=7, share=0.1, done=told)
-    job.cancel()"""
+    task = tasks.add("compaction", engine.compact(), priority=7, share=0.1, done=on_done)
+    task.cancel()"""
 
 from lapiswing.tasks import decide
 
 
-class Running:
+class RunningTask:
+    """A task that has been added and has not ended."""
+
     def __init__(self, tasks, job, work, done):
         self.tasks, self.job, self.work, self.done = tasks, job, work, done
 
     def cancel(self):
-        """Its generator is closed; `done` is not called."""
+        """Closes the generator; `done` is not called."""
         if self in self.tasks.running:
             self.tasks.running.remove(self)
             self.done = None
@@ -20,94 +22,108 @@
 
 
 class Tasks:
+    """The background tasks of a loop."""
+
     def __init__(self, loop):
         self.loop, self.running, self.timer, self.finished, self.faults = loop, [], None, [], 0
         self.counts = {"slices": 0, "held up": 0}
-        loop.after.append(self.turn)
+        loop.after.append(self.run_slices)
 
-    def add(self, name, work, priority=5, share=1.0, bytes_s=None, due_us=None, done=None):
-        """`done(problem)` at its end: None, or what it raised."""
-        one = Running(self, decide.Job(name, priority, self.loop.clock.now_us(), share, bytes_s, due_us), work, done)
-        self.running.append(one)
-        self.wake(0)
-        return one
+    def add(self, name, work, priority=5, share=1.0, bytes_per_s=None, due_us=None, done=None):
+        """Adds a task. `work`: its generator; for the limits see decide. `done(problem)` is called at its end with None, or with
+        the exception that it raised."""
+        task = RunningTask(self, decide.Job(name, priority, self.loop.clock.now_us(), share, bytes_per_s, due_us), work, done)
+        self.running.append(task)
+        self.schedule(0)
+        return task
 
-    def wake(self, after_us):
+    def schedule(self, after_us):
+        """Makes the loop turn after this time at the latest."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.call_later(after_us, self.woken)
+        self.timer = self.loop.call_later(after_us, self.on_timer)
 
-    def woken(self):
-        self.timer = None  # the end of this turn does the work
+    def on_timer(self):
+        self.timer = None  # the tasks run at the end of this turn
 
-    def turn(self):
+    def run_slices(self):
+        """Called at the end of each turn of the loop: runs slices within the budget."""
         if not self.running or self.timer is not None:
             return
         now = self.loop.clock.now_us()
         budget = decide.budget_us(now - self.loop.now)
-        self.counts["held up"] += budget < decide.BUDGET_US
+        self.counts["held up"] += budget < decide.TURN_BUDGET_US
         end, waiting = now + budget, set()
         while True:
-            jobs = {id(r.job): r for r in self.running if r not in waiting}
-            job = decide.choose([r.job for r in jobs.values()], now, end - now)
+            jobs = {id(task.job): task for task in self.running if task not in waiting}
+            job = decide.choose_job([task.job for task in jobs.values()], now, end - now)
             if job is None:
                 break
-            one, start = jobs[id(job)], now
-            moved, over, problem = 0, False, None
+            task, start = jobs[id(job)], now
+            moved, ended, problem = 0, False, None
             try:
-                moved = next(one.work)
+                moved = next(task.work)
             except StopIteration:
-                over = True
-            except Exception as error:  # a fault in background work ends that work only
-                over, problem = True, error
+                ended = True
+            except Exception as error:  # an exception ends only the task that raised it
+                ended, problem = True, error
                 self.faults += 1
                 if self.loop.on_error:
                     self.loop.on_error(error)
             now = self.loop.clock.now_us()
             if moved is False:
-                waiting.add(one)
-            decide.ran(job, now, now - start, moved or 0)
+                waiting.add(task)
+            decide.record_slice(job, now, now - start, moved or 0)
             self.counts["slices"] += 1
-            if over:
-                self.end(one, problem)
+            if ended:
+                self.finish(task, problem)
             if now >= end:
                 break
         if self.running:
-            rest = [r.job for r in self.running if r not in waiting]
-            self.wake(0 if any(j.may() for j in rest) and budget else decide.next_look_us(rest, now) if rest else 2000)
+            runnable = [task.job for task in self.running if task not in waiting]
+            self.schedule(
+                0
+                if any(job.can_run() for job in runnable) and budget
+                else decide.next_check_us(runnable, now)
+                if runnable
+                else 2000
+            )
 
-    def end(self, one, problem):
-        if one in self.running:
-            self.running.remove(one)
+    def finish(self, task, problem):
+        """A task has ended or failed."""
+        if task in self.running:
+            self.running.remove(task)
         self.finished = [
             *self.finished[-19:],
             {
-                "name": one.job.name,
-                "slices": one.job.slices,
-                "ms": one.job.spent_us // 1000,
-                "bytes": one.job.moved,
+                "name": task.job.name,
+                "slices": task.job.slices,
+                "ms": task.job.spent_us // 1000,
+                "bytes": task.job.moved_bytes,
                 "problem": str(problem) if problem else None,
             },
         ]
-        if one.done:
-            one.done(problem)
+        if task.done:
+            task.done(problem)
 
     def rows(self):
+        """The running tasks, for the status API."""
         now = self.loop.clock.now_us()
         return [
             {
-                "name": r.job.name,
-                "priority": r.job.priority,
-                "slices": r.job.slices,
-                "ms": r.job.spent_us // 1000,
-                "bytes": r.job.moved,
-                "age_ms": (now - r.job.added_us) // 1000,
+                "name": task.job.name,
+                "priority": task.job.priority,
+                "slices": task.job.slices,
+                "ms": task.job.spent_us // 1000,
+                "bytes": task.job.moved_bytes,
+                "age_ms": (now - task.job.added_us) // 1000,
             }
-            for r in self.running
+            for task in self.running
         ]
 
     def close(self):
-        for one in list(self.running):
-            one.cancel()
+        """Cancels all tasks."""
+        for task in list(self.running):
+            task.cancel()
         if self.timer is not None:
             self.timer.cancel()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Background work: whose slice is next, and that it never takes more of a turn than it may."""
+"""Background tasks: the choice of the next slice, and the limits on the time that slices take."""
 
 import pytest
 from hypothesis import given, settings
@@ -6,7 +6,7 @@
 
 from lapiswing.loop import Clock, Loop, ManualClock
 from lapiswing.tasks import Tasks, decide
-from lapiswing.tasks.decide import BUDGET_US, MS, Job, budget_us, choose, ran
+from lapiswing.tasks.decide import MS, TURN_BUDGET_US, Job, budget_us, choose_job, record_slice
 
 S = 1_000_000
 
@@ -15,10 +15,10 @@
     out = []
     for _ in range(n):
         now += step
-        job = choose(jobs, now, BUDGET_US)
+        job = choose_job(jobs, now, TURN_BUDGET_US)
         out.append(job.name if job else "-")
         if job:
-            ran(job, now, took, moved)
+            record_slice(job, now, took, moved)
     return out
 
 
@@ -34,8 +34,8 @@
 
 
 def test_bytes_a_second_are_kept():
-    got = names([Job("mover", 1, 0, bytes_s=1_000_000)], 5000, moved=10_000)
-    assert 490 <= got.count("mover") <= 600  # five seconds at 100 slices each, and what it had at first
+    got = names([Job("mover", 1, 0, bytes_per_s=1_000_000)], 5000, moved=10_000)
+    assert 490 <= got.count("mover") <= 600  # five seconds with 100 slices each, and the initial allowance
 
 
 def test_the_lowest_priority_is_late_but_never_forgotten():
@@ -51,9 +51,13 @@
 
 
 def test_long_turns_leave_less_down_to_nothing_but_the_starved():
-    assert budget_us(0) == budget_us(5 * MS) == BUDGET_US and 0 < budget_us(15 * MS) < BUDGET_US and budget_us(30 * MS) == 0
+    assert (
+        budget_us(0) == budget_us(5 * MS) == TURN_BUDGET_US
+        and 0 < budget_us(15 * MS) < TURN_BUDGET_US
+        and budget_us(30 * MS) == 0
+    )
     job = Job("x", 1, 0)
-    assert choose([job], 100 * MS, 0) is None and choose([job], 2000 * MS, 0) is job
+    assert choose_job([job], 100 * MS, 0) is None and choose_job([job], 2000 * MS, 0) is job
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -67,12 +71,12 @@
         now += 10 * MS + turn
         left = budget_us(turn)
         for _ in range(len(jobs) + 1):
-            job = choose(jobs, now, left)
+            job = choose_job(jobs, now, left)
             if job is None:
                 break
-            ran(job, now, 100, 0)
+            record_slice(job, now, 100, 0)
             left -= 100
-        assert all(now - j.ran_us <= decide.STARVED_US + 60 * MS for j in jobs)
+        assert all(now - j.last_run_us <= decide.MAX_WAIT_US + 60 * MS for j in jobs)
 
 
 def work(n, log, name, result=None):
@@ -132,13 +136,13 @@
         before = tasks.counts["slices"]
         loop.turn(0)
         turns.append(tasks.counts["slices"] - before)
-    assert max(turns) == BUDGET_US // 100 and sum(turns) > 50
+    assert max(turns) == TURN_BUDGET_US // 100 and sum(turns) > 50
     tasks.close()
     loop.close()
 
 
-@pytest.mark.parametrize("bytes_s,share", [(1000, 1.0), (None, 0.001)])
-def test_with_nothing_to_run_the_loop_sleeps_until_something_may(bytes_s, share):
-    job = Job("x", 1, 0, share, bytes_s)
-    job.left_us, job.left_bytes = -10_000, -10
-    assert 1000 <= decide.next_look_us([job], 0) <= 50_000
+@pytest.mark.parametrize("bytes_per_s,share", [(1000, 1.0), (None, 0.001)])
+def test_with_nothing_to_run_the_loop_sleeps_until_something_may(bytes_per_s, share):
+    job = Job("x", 1, 0, share, bytes_per_s)
+    job.share_left_us, job.bytes_left = -10_000, -10
+    assert 1000 <= decide.next_check_us([job], 0) <= 50_000
