--- a/tests/test_transfer_files.py
+++ b/tests/test_transfer_files.py
@@ -1,4 +1,4 @@
-"""States in files: served by sendfile, landing in a folder, and what a crash at each step leaves behind; TLS."""
+"""States in files: served by sendfile, fetched into a folder, recovery after a crash at each step; TLS."""
 
 import datetime
 import os
@@ -38,11 +38,11 @@
 def test_files_that_can_not_be_served(tmp_path):
     (tmp_path / "empty").touch()
     with Lab() as lab:
-        assert "empty" in put_file(lab, lab.b, "s", tmp_path / "empty")[1]
-        assert "No such file" in put_file(lab, lab.b, "s", tmp_path / "none")[1]
+        assert "empty" in put_file(lab, lab.fetcher, "s", tmp_path / "empty")[1]
+        assert "No such file" in put_file(lab, lab.fetcher, "s", tmp_path / "none")[1]
         (tmp_path / "s").write_bytes(b"other")
-        assert "fit" in put_file(lab, lab.b, "s", tmp_path / "s", manifest_of("s", b"bytes", CHUNK))[1]
-        assert not lab.b.states
+        assert "fit" in put_file(lab, lab.fetcher, "s", tmp_path / "s", manifest_of("s", b"bytes", CHUNK))[1]
+        assert not lab.fetcher.states
 
 
 def test_a_file_that_becomes_shorter_while_it_is_sent(tmp_path):
@@ -51,11 +51,11 @@
     with Lab() as lab:
         put_file(lab, lab.senders[0], "s", path)
         lab.relays[0].rate = 2_000_000
-        f = lab.fetch("s")
-        lab.until(lambda: f.receiver.manifest and f.receiver.missing < 95)
+        fetch = lab.fetch("s")
+        lab.until(lambda: fetch.receiver.manifest and fetch.receiver.missing < 95)
         os.truncate(path, 20 * CHUNK)
-        assert lab.end(f).why and "s" not in lab.senders[0].states
-        lab.check_nothing_held()
+        assert lab.end(fetch).why and "s" not in lab.senders[0].states
+        lab.check_nothing_left()
 
 
 def test_a_file_whose_bytes_change_under_its_manifest_is_refused_by_the_receiver(tmp_path):
@@ -64,23 +64,23 @@
     with Lab() as lab:
         put_file(lab, lab.senders[0], "s", path)
         path.write_bytes(data_of(10 * CHUNK, seed=2))
-        assert lab.end(lab.fetch("s")).why and lab.b.counts["corrupt chunks"] >= 4
+        assert lab.end(lab.fetch("s")).why and lab.fetcher.counts["corrupt chunks"] >= 4
 
 
 def test_a_dropped_files_descriptor_is_not_closed_under_what_is_still_to_be_sent(tmp_path):
-    """Its number could be another file's by then."""
+    """Guards against closing the descriptor too early: its number could then refer to another file."""
     with Lab() as lab:
         (tmp_path / "s").write_bytes(data_of(60 * CHUNK))
         state, _ = put_file(lab, lab.senders[0], "s", tmp_path / "s")
         fd = state.file.fileno()
         lab.relays[0].rate = 500_000
-        f = lab.fetch("s")
+        fetch = lab.fetch("s")
         lab.until(
             lambda: (
                 any(len(server.stream.out) for server in lab.senders[0].servers)
-                or f.is_finished
-                or f.receiver.missing
-                and f.receiver.missing < 58
+                or fetch.is_finished
+                or fetch.receiver.missing
+                and fetch.receiver.missing < 58
             )
         )
         held = [p for server in lab.senders[0].servers for p in server.stream.out if hasattr(p, "file")]
@@ -89,7 +89,7 @@
         if held:
             assert held[0].file.fileno() == fd and os.fstat(fd)
         held.clear()
-        assert "gone" in lab.end(f).why
+        assert "gone" in lab.end(fetch).why
         lab.until(lambda: not os.path.exists(f"/proc/self/fd/{fd}") or os.readlink(f"/proc/self/fd/{fd}") != str(tmp_path / "s"))
 
 
@@ -97,10 +97,10 @@
 def test_no_name_leaves_its_folder(tmp_path, name):
     with Lab() as lab:
         data = lab.put(name, 3 * CHUNK)
-        f = lab.end(lab.fetch(name, folder=tmp_path))
-        assert f.why is None and Path(f.path).parent == tmp_path and Path(f.path).read_bytes() == data
-        f.free()
-        assert scan(tmp_path) == ([name], []) and lab.b.used_bytes == 0
+        fetch = lab.end(lab.fetch(name, folder=tmp_path))
+        assert fetch.why is None and Path(fetch.path).parent == tmp_path and Path(fetch.path).read_bytes() == data
+        fetch.free()
+        assert scan(tmp_path) == ([name], []) and lab.fetcher.used_bytes == 0
 
 
 @pytest.mark.parametrize("name", ["", "x" * 300, "a.part", "b.manifest"])
@@ -113,16 +113,16 @@
     with Lab() as lab:
         data = lab.put("s", 100 * CHUNK + 5)
         lab.relays[0].rate = 6_000_000
-        f = lab.fetch("s", folder=tmp_path, keep=True)
-        lab.until(lambda: f.receiver.manifest and f.receiver.missing <= 40)
-        left = f.receiver.missing
-        lab.b.close()
-        assert lab.b.used_bytes == 0 and not (tmp_path / "s").exists()
+        fetch = lab.fetch("s", folder=tmp_path, keep=True)
+        lab.until(lambda: fetch.receiver.manifest and fetch.receiver.missing <= 40)
+        left = fetch.receiver.missing
+        lab.fetcher.close()
+        assert lab.fetcher.used_bytes == 0 and not (tmp_path / "s").exists()
         lab.relays[0].rate = None
-        lab.b = Agent(lab.loop, "b", [b"key"], chunk=CHUNK)
-        f = lab.end(lab.fetch("s", folder=tmp_path, keep=True))
-        assert f.why is None and (tmp_path / "s").read_bytes() == data
-        assert lab.b.counts["chunks found again"] >= 60 and lab.b.counts["chunks received"] <= left
+        lab.fetcher = Agent(lab.loop, "b", [b"key"], chunk=CHUNK)
+        fetch = lab.end(lab.fetch("s", folder=tmp_path, keep=True))
+        assert fetch.why is None and (tmp_path / "s").read_bytes() == data
+        assert lab.fetcher.counts["chunks found again"] >= 60 and lab.fetcher.counts["chunks received"] <= left
         assert sorted(os.listdir(tmp_path)) == ["s", "s.manifest"]
 
 
@@ -133,9 +133,9 @@
         part.map[: 30 * CHUNK] = data[: 30 * CHUNK]
         part.map[7 * CHUNK + 3] ^= 1
         part.close()
-        f = lab.end(lab.fetch("s", folder=tmp_path))
-        assert Path(f.path).read_bytes() == data and lab.b.counts["chunks found again"] == 29
-        assert lab.b.counts["chunks received"] == 21
+        fetch = lab.end(lab.fetch("s", folder=tmp_path))
+        assert Path(fetch.path).read_bytes() == data and lab.fetcher.counts["chunks found again"] == 29
+        assert lab.fetcher.counts["chunks received"] == 21
 
 
 def test_a_part_of_another_state_under_the_same_name_starts_over(tmp_path):
@@ -146,28 +146,28 @@
         part.map[5] ^= 1
         part.close()
         data = lab.put("s", 20 * CHUNK + 3)
-        f = lab.end(lab.fetch("s", folder=tmp_path))
-        assert Path(f.path).read_bytes() == data and lab.b.counts["started over"] == 1
+        fetch = lab.end(lab.fetch("s", folder=tmp_path))
+        assert Path(fetch.path).read_bytes() == data and lab.fetcher.counts["started over"] == 1
 
 
 def test_without_keep_a_failed_fetch_leaves_nothing(tmp_path):
     with Lab() as lab:
         lab.put("s", 100 * CHUNK)
         lab.relays[0].rate = 1_000_000
-        f = lab.end(lab.fetch("s", folder=tmp_path, expires_s=0.4))
-        assert f.why and os.listdir(tmp_path) == [] and lab.b.used_bytes == 0
+        fetch = lab.end(lab.fetch("s", folder=tmp_path, expires_s=0.4))
+        assert fetch.why and os.listdir(tmp_path) == [] and lab.fetcher.used_bytes == 0
 
 
-def test_a_folder_that_is_full_or_missing_is_no_room(tmp_path):
+def test_a_full_or_missing_folder_fails_with_no_room(tmp_path):
     with Lab() as lab:
         lab.put("s", 10 * CHUNK)
         assert lab.end(lab.fetch("s", folder=tmp_path / "none")).why == "no room"
-        lab.b.memory_bytes = 9 * CHUNK
+        lab.fetcher.memory_bytes = 9 * CHUNK
         assert lab.end(lab.fetch("s", folder=tmp_path)).why == "no room" and os.listdir(tmp_path) == []
-        lab.check_nothing_held()
+        lab.check_nothing_left()
 
 
-def test_a_disk_that_fills_up_on_the_way_is_no_room(tmp_path, monkeypatch):
+def test_a_disk_that_fills_up_during_a_fetch_fails_with_no_room(tmp_path, monkeypatch):
     with Lab() as lab:
         lab.put("s", 40 << 20)
         real = os.posix_fallocate
@@ -178,31 +178,32 @@
             real(fd, at, size)
 
         monkeypatch.setattr(os, "posix_fallocate", full)
-        f = lab.end(lab.fetch("s", folder=tmp_path))
-        assert f.why == "no room" and os.listdir(tmp_path) == []
-        lab.check_nothing_held()
+        fetch = lab.end(lab.fetch("s", folder=tmp_path))
+        assert fetch.why == "no room" and os.listdir(tmp_path) == []
+        lab.check_nothing_left()
 
 
 def test_taking_room_for_a_large_state_does_not_stop_the_loop(tmp_path):
-    """Clearing half a gigabyte at once took 0.3 s, in which every link looked stalled."""
+    """Guards against allocating a large state at once: clearing half a gigabyte takes 0.3 s, in which every link appears
+    stalled."""
     with Lab(memory=4 << 30, chunk=1 << 20) as lab:
         big = manifest_of("s", b"", 1 << 20)
         sums = b"12345678" * 512
         big = type(big)("s", 512 << 20, 1 << 20, sums, root_of(512 << 20, 1 << 20, sums))
         for folder in (None, tmp_path):
-            f = lab.fetch("s", folder=folder)
+            fetch = lab.fetch("s", folder=folder)
             best = 9e9
             for _ in range(3):
-                lab.b.free_buffers.clear()
+                lab.fetcher.free_buffers.clear()
                 start = time.perf_counter()
-                assert f.receiver.allocate(big) is not None
+                assert fetch.receiver.allocate(big) is not None
                 best = min(best, time.perf_counter() - start)
             assert best < 0.05
-            f.cancel()
+            fetch.cancel()
 
 
 def crash(folder, step, manifest, data):
-    """What a crash after each step of landing leaves behind."""
+    """Leaves the files that a crash after a step of a fetch leaves."""
     base = str(folder / "s")
     if step == "before the manifest":
         Path(base + PART_SUFFIX).write_bytes(b"\0" * len(data))
@@ -246,9 +247,9 @@
         crash(tmp_path, step, lab.senders[0].states["s"].manifest, data)
         assert scan(tmp_path) == found
         if step != "whole":
-            f = lab.end(lab.fetch("s", folder=tmp_path))
-            assert Path(f.path).read_bytes() == data
-            assert (lab.b.counts["chunks received"] == 0) == (found == ([], ["s"]))
+            fetch = lab.end(lab.fetch("s", folder=tmp_path))
+            assert Path(fetch.path).read_bytes() == data
+            assert (lab.fetcher.counts["chunks received"] == 0) == (found == ([], ["s"]))
         assert read_manifest(str(tmp_path / "s") + MANIFEST_SUFFIX).root == lab.senders[0].states["s"].manifest.root
         assert sorted(os.listdir(tmp_path)) == ["s", "s.manifest"]
 
@@ -274,7 +275,7 @@
 def secure_lab(tmp_path, authority, name="a0", to="b"):
     lab = Lab()
     lab.senders[0].tls = certificates(tmp_path, name, authority)
-    lab.b.tls = certificates(tmp_path, to, authority)
+    lab.fetcher.tls = certificates(tmp_path, to, authority)
     return lab
 
 
@@ -285,7 +286,7 @@
         put_file(lab, lab.senders[0], "file", tmp_path / "file")
         assert lab.end(lab.fetch("s")).memory == data
         assert lab.end(lab.fetch("file")).memory == data
-        assert lab.b.counts["breaks"] == 0
+        assert lab.fetcher.counts["breaks"] == 0
 
 
 @pytest.mark.parametrize("fault", ["cut", "flip", "truncate"])
@@ -298,25 +299,25 @@
             relay.flip_at = {20 * CHUNK}
         else:
             relay.truncate_after = 30 * CHUNK
-        f = lab.fetch("s")
-        lab.until(lambda: lab.b.counts["breaks"])
+        fetch = lab.fetch("s")
+        lab.until(lambda: lab.fetcher.counts["breaks"])
         relay.cut_after, relay.flip_at, relay.truncate_after = None, set(), None
-        assert lab.end(f).memory == data and lab.b.counts["corrupt chunks"] == 0
-        assert lab.b.counts["resumed"] >= 1
+        assert lab.end(fetch).memory == data and lab.fetcher.counts["corrupt chunks"] == 0
+        assert lab.fetcher.counts["resumed"] >= 1
 
 
-def test_an_agent_without_certificate_or_with_a_strangers_gets_nothing(tmp_path, authorities):
+def test_an_agent_without_a_certificate_of_the_authority_is_refused(tmp_path, authorities):
     with secure_lab(tmp_path, authorities[0]) as lab:
         lab.put("s", CHUNK)
-        lab.b.tls = None
+        lab.fetcher.tls = None
         assert lab.end(lab.fetch("s", expires_s=3)).why
-        lab.b.tls = certificates(tmp_path / "other", "b", authorities[1])
+        lab.fetcher.tls = certificates(tmp_path / "other", "b", authorities[1])
         assert lab.end(lab.fetch("s", expires_s=3)).why
         assert lab.senders[0].counts["chunks sent"] == 0
 
 
-def test_an_agents_certificate_speaks_only_for_itself(tmp_path, authorities):
-    with secure_lab(tmp_path, authorities[0], to="c") as lab:  # the receiver says it is b
+def test_an_agents_certificate_is_valid_for_its_own_name_only(tmp_path, authorities):
+    with secure_lab(tmp_path, authorities[0], to="c") as lab:  # but the receiver claims to be b
         lab.put("s", CHUNK)
         assert lab.end(lab.fetch("s", expires_s=3)).why
         assert lab.senders[0].counts["not authenticated"] >= 1 and lab.senders[0].counts["chunks sent"] == 0
@@ -335,30 +336,30 @@
         data = lab.put("s", 3 * CHUNK)
 
         def works():
-            for link in list(lab.b.links.values()):
+            for link in list(lab.fetcher.links.values()):
                 link.stream.abort()
-            lab.until(lambda: not lab.b.links)
+            lab.until(lambda: not lab.fetcher.links)
             return lab.end(lab.fetch("s")).memory == data
 
         assert works()
         (tmp_path / "fleet.crt").write_bytes(old[1] + new[1])
-        for agent in (lab.b, lab.senders[0]):
+        for agent in (lab.fetcher, lab.senders[0]):
             assert agent.tls.changed()
             agent.tls.reload()
             assert works()
-        for agent, name in ((lab.b, "b"), (lab.senders[0], "a0")):
+        for agent, name in ((lab.fetcher, "b"), (lab.senders[0], "a0")):
             key, certificate = issue(*new, name, 10)
             (tmp_path / f"{name}.key").write_bytes(key)
             (tmp_path / f"{name}.crt").write_bytes(certificate)
             agent.tls.reload()
             assert works()
         (tmp_path / "fleet.crt").write_bytes(new[1])
-        for agent in (lab.b, lab.senders[0]):
+        for agent in (lab.fetcher, lab.senders[0]):
             agent.tls.reload()
             assert works()
 
 
-def test_files_that_are_no_good_are_told_and_the_last_good_ones_stand(tmp_path, authorities):
+def test_invalid_certificate_files_are_reported_and_the_last_valid_ones_stay_in_use(tmp_path, authorities):
     tls = certificates(tmp_path, "b", authorities[0])
     good = tls.contexts
     day = datetime.timedelta(days=1)
--- a/tests/test_transfer_machine.py
+++ b/tests/test_transfer_machine.py
@@ -1,4 +1,4 @@
-"""The state machines of moves and what is decided about them, without I/O; a model check over all interleavings."""
+"""The state machines of transfers and the decisions about them, without I/O, with a model check over all interleavings."""
 
 from collections import deque
 
@@ -27,8 +27,8 @@
 
 
 def test_model_check_of_credit_and_resumption():
-    """Every interleaving of asking, sending, arriving (whole or damaged) and losing the connection, for a state of four
-    chunks, two losses and one damaged chunk: never a wrong byte, credit is conserved, and the end can always be reached."""
+    """All interleavings of requests, sends, arrivals (intact or corrupt) and connection losses, for a state of four chunks, two
+    losses and one corrupt chunk: no wrong byte is accepted, credit is conserved, and completion always stays reachable."""
     manifest = state(4)
     content = bytes(range(1, 9))
 
@@ -36,98 +36,108 @@
         return (bytes(4), frozenset(), (), (), 0, 2, 1)  # have, out, sender's queue, wire, credit, losses, damages
 
     def build(have, out):
-        r = Receiver("s", lambda m: bytearray(m.length))
-        r.accept_manifest(manifest)
+        receiver = Receiver("s", lambda m: bytearray(m.length))
+        receiver.accept_manifest(manifest)
         for i in range(4):
             if have[i]:
                 at, size = manifest.span(i)
-                r.memory[at : at + size] = content[at : at + size]
-                r.received[i], r.missing = 1, r.missing - 1
-        r.requested = dict.fromkeys(out, 0)
-        r.next_index = 0
-        return r
+                receiver.memory[at : at + size] = content[at : at + size]
+                receiver.received[i], receiver.missing = 1, receiver.missing - 1
+        receiver.requested = dict.fromkeys(out, 0)
+        receiver.next_index = 0
+        return receiver
 
     def moves(node):
         have, out, queue, wire, credit, losses, damages = node
-        r = build(have, out)
+        receiver = build(have, out)
         for most in (1, 2):
-            r2 = build(have, out)
-            asked = [i for a, b in r2.request_chunks(most, 0) for i in range(a, b)]
+            receiver2 = build(have, out)
+            asked = [i for a, b in receiver2.request_chunks(most, 0) for i in range(a, b)]
             if asked:
-                s = Sender()
-                s.open(1, None, 0)
-                one = s.transfers[1]
-                one.queue, one.credit, one.granted = deque(queue), credit, credit
-                assert s.add_request(1, [(i, i + 1) for i in asked], len(asked), 4)
-                assert one.granted == one.sent + one.credit
-                yield (have, frozenset(r2.requested), tuple(one.queue), wire, one.credit, losses, damages)
+                sender = Sender()
+                sender.open(1, None, 0)
+                outgoing = sender.transfers[1]
+                outgoing.queue, outgoing.credit, outgoing.granted = deque(queue), credit, credit
+                assert sender.add_request(1, [(i, i + 1) for i in asked], len(asked), 4)
+                assert outgoing.granted == outgoing.sent + outgoing.credit
+                yield (have, frozenset(receiver2.requested), tuple(outgoing.queue), wire, outgoing.credit, losses, damages)
         if queue and credit:
-            s = Sender()
-            s.open(1, None, 0)
-            one = s.transfers[1]
-            one.queue, one.credit = deque(queue), credit
-            _, _, index = s.next_chunk()
-            yield (have, out, tuple(one.queue), (*wire, index), one.credit, losses, damages)
+            sender = Sender()
+            sender.open(1, None, 0)
+            outgoing = sender.transfers[1]
+            outgoing.queue, outgoing.credit = deque(queue), credit
+            _, _, index = sender.next_chunk()
+            yield (have, out, tuple(outgoing.queue), (*wire, index), outgoing.credit, losses, damages)
         if wire:
-            for bad in (False, True) if damages else (False,):
-                r = build(have, out)
+            for corrupt in (False, True) if damages else (False,):
+                receiver = build(have, out)
                 index = wire[0]
-                place = r.buffer_for(index)
+                place = receiver.buffer_for(index)
                 at, size = manifest.span(index)
                 if place is not None:
-                    place[:] = b"\xff\xff" if bad else content[at : at + size]
-                    assert r.chunk_received(index, size) == ("corrupt" if bad else "whole" if not r.missing else "good")
+                    place[:] = b"\xff\xff" if corrupt else content[at : at + size]
+                    assert receiver.chunk_received(index, size) == (
+                        "corrupt" if corrupt else "whole" if not receiver.missing else "good"
+                    )
                 for i in range(4):
-                    if r.received[i]:
+                    if receiver.received[i]:
                         a, n = manifest.span(i)
-                        assert bytes(r.memory[a : a + n]) == content[a : a + n]
-                yield (bytes(r.received), frozenset(r.requested), queue, wire[1:], credit, losses, damages - bad)
+                        assert bytes(receiver.memory[a : a + n]) == content[a : a + n]
+                yield (
+                    bytes(receiver.received),
+                    frozenset(receiver.requested),
+                    queue,
+                    wire[1:],
+                    credit,
+                    losses,
+                    damages - corrupt,
+                )
         if losses:
             yield (have, frozenset(), (), (), 0, losses - 1, damages)
 
-    seen, line, edges = {start()}, deque([start()]), {}
-    while line:
-        node = line.popleft()
+    seen, pending, edges = {start()}, deque([start()]), {}
+    while pending:
+        node = pending.popleft()
         edges[node] = set(moves(node))
-        # Whatever is out is with the sender, against credit, or on the wire: nothing is waited for that can't come.
+        # Every requested chunk is queued at the sender with credit or on the wire, so that the receiver never waits in vain.
         assert node[1] <= set(node[2]) | set(node[3]) and node[4] >= len(node[2])
         for other in edges[node] - seen:
             seen.add(other)
-            line.append(other)
+            pending.append(other)
     ends = {n for n in seen if n[0] == b"\1" * 4}
     back = {}
     for node, others in edges.items():
         for other in others:
             back.setdefault(other, []).append(node)
-    reach, line = set(ends), deque(ends)
-    while line:
-        for node in back.get(line.popleft(), ()):
+    reach, pending = set(ends), deque(ends)
+    while pending:
+        for node in back.get(pending.popleft(), ()):
             if node not in reach:
                 reach.add(node)
-                line.append(node)
+                pending.append(node)
     print(f"{len(seen)} states, {sum(map(len, edges.values()))} steps, {len(ends)} ends")
     assert reach == seen and ends and len(seen) > 500
 
 
 def test_resumption_by_root():
-    r = Receiver("s", lambda m: bytearray(m.length))
-    assert r.accept_manifest(state(4)) == "new"
-    r.request_chunks(2, 0)
-    r.buffer_for(0)[:] = bytes([1, 2])
-    assert r.chunk_received(0, 2) == "good"
-    assert r.accept_manifest(state(4)) == "same" and r.missing == 3 and r.request_chunks(9, 0) == [(1, 4)]
-    assert r.accept_manifest(state(5)) == "other" and r.missing == 5
+    receiver = Receiver("s", lambda m: bytearray(m.length))
+    assert receiver.accept_manifest(state(4)) == "new"
+    receiver.request_chunks(2, 0)
+    receiver.buffer_for(0)[:] = bytes([1, 2])
+    assert receiver.chunk_received(0, 2) == "good"
+    assert receiver.accept_manifest(state(4)) == "same" and receiver.missing == 3 and receiver.request_chunks(9, 0) == [(1, 4)]
+    assert receiver.accept_manifest(state(5)) == "other" and receiver.missing == 5
     full = Receiver("s", lambda n: None)
     assert full.accept_manifest(state(4)) == "no room" and full.manifest is None
 
 
 def test_priorities_and_turns_of_a_sender():
-    s = Sender(max_transfers=3)
+    sender = Sender(max_transfers=3)
     for t, p in ((1, 5), (2, 5), (3, 1)):
-        assert s.open(t, f"s{t}", p) and s.add_request(t, [(0, 2)], 2, 9)
-    assert not s.open(4, "s4", 1)
-    assert [s.next_chunk()[0] for _ in range(6)] == [3, 3, 1, 2, 1, 2] and s.next_chunk() is None
-    assert not s.add_request(1, [(8, 10)], 1, 9) and s.add_request(77, [(0, 1)], 1, 9)
+        assert sender.open(t, f"s{t}", p) and sender.add_request(t, [(0, 2)], 2, 9)
+    assert not sender.open(4, "s4", 1)
+    assert [sender.next_chunk()[0] for _ in range(6)] == [3, 3, 1, 2, 1, 2] and sender.next_chunk() is None
+    assert not sender.add_request(1, [(8, 10)], 1, 9) and sender.add_request(77, [(0, 1)], 1, 9)
 
 
 def test_manifests_that_do_not_fit_together():
@@ -144,28 +154,28 @@
 
 
 def test_the_window_grows_while_delay_does_not():
-    w = Window()
+    window = Window()
     for _ in range(150):
-        w.chunk_verified(10 * MS, 1000, w.allowed())
-    assert w.allowed() > 20
-    large = w.allowed()
+        window.chunk_verified(10 * MS, 1000, window.allowed())
+    assert window.allowed() > 20
+    large = window.allowed()
     for _ in range(49):
-        w.chunk_verified(60 * MS, 1000, w.allowed())  # a queue stands
-    assert w.allowed() < large / 1.5
+        window.chunk_verified(60 * MS, 1000, window.allowed())  # a standing queue
+    assert window.allowed() < large / 1.5
     for _ in range(800):
-        w.chunk_verified(60 * MS, 1000, w.allowed())  # no: the path has become longer, and that is learnt
-    assert w.allowed() > 20
-    w.on_connection_lost()
-    assert w.stall_timeout_us() >= decide.MIN_STALL_US
+        window.chunk_verified(60 * MS, 1000, window.allowed())  # the path itself has become slower, which the window adapts to
+    assert window.allowed() > 20
+    window.on_connection_lost()
+    assert window.stall_timeout_us() >= decide.MIN_STALL_US
 
 
 def test_a_queue_of_its_own_making_is_not_taken_for_the_path():
-    """A link of 10 ms a chunk and 5 ms of delay: three chunks fill it. The window grew without end, as each new least time
-    was one with the queue in it."""
-    w, sizes = Window(), []
+    """On a link of 10 ms per chunk and 5 ms of delay, three chunks fill the link. Guards against a window that grows without
+    limit because each measurement of the minimum delay includes its own queue."""
+    window, sizes = Window(), []
     for _ in range(5000):
-        w.chunk_verified(5 * MS + w.allowed() * 10 * MS, 1 << 20, w.allowed())
-        sizes.append(w.allowed())
+        window.chunk_verified(5 * MS + window.allowed() * 10 * MS, 1 << 20, window.allowed())
+        sizes.append(window.allowed())
     assert max(sizes[400:]) <= 6 and sum(sizes) / len(sizes) > 2
 
 
@@ -182,7 +192,7 @@
     assert [admitted_moves(running, 5, True) for running in range(4)] == [2, 1, 0, 0] and admitted_moves(7, 5, False) == 5
 
 
-def test_what_is_done_when_a_move_breaks():
+def test_options_after_a_failed_move():
     ways = [
         RecoveryOption("resume", 10_000_000, 10e6, 2 * MS, 0, "a"),
         RecoveryOption("other holder", 10_000_000, 40e6, 5 * MS, 0, "b"),
@@ -190,30 +200,34 @@
     ]
     assert choose_option(ways, 0, 5_000 * MS).holder == "b"
     assert choose_option([ways[0], ways[2]], 0, 5_000 * MS).what == "read anew"
-    # Near its end the rest is cheaper than anything else, until it has failed too often.
+    # Near the end, resuming is faster than any other option, until it has failed too often.
     near = RecoveryOption("resume", 100_000, 10e6, 2 * MS, 1, "a")
     assert choose_option([near, *ways[1:]], 0, 5_000 * MS) is near
     assert choose_option([near._replace(fails=decide.MAX_FAILURES), ways[2]], 0, 5_000 * MS).what == "read anew"
     assert choose_option(ways, 0, 100 * MS) is None
 
 
-def test_whose_trouble_it_is_decides_what_else_could_be_done():
+def test_the_faulty_side_decides_the_options_of_the_caller():
     alternatives, paths = {"read anew": 800 * MS, "elsewhere": 30 * MS}, PathHealth()
-    assert paths.faulty_side("a") is None and [w.what for w in caller_options(alternatives, 10, None)] == [
+    assert paths.faulty_side("a") is None and [option.what for option in caller_options(alternatives, 10, None)] == [
         "read anew",
         "elsewhere",
     ]
     for _ in range(3):
         paths.record("a", False)
         paths.record("b", True)
-    assert paths.faulty_side("a") == "holder" and [w.what for w in caller_options(alternatives, 10, "holder")] == ["read anew"]
+    assert paths.faulty_side("a") == "holder" and [option.what for option in caller_options(alternatives, 10, "holder")] == [
+        "read anew"
+    ]
     for _ in range(4):
         paths.record("b", False)
         paths.record("c", False)
-    assert paths.faulty_side("a") == "own" and [w.what for w in caller_options(alternatives, 10, "own")] == ["elsewhere"]
+    assert paths.faulty_side("a") == "own" and [option.what for option in caller_options(alternatives, 10, "own")] == [
+        "elsewhere"
+    ]
     assert paths.faulty_side("never met") is None
 
 
 def test_a_slow_move_is_left_only_for_something_much_better():
     assert not worth_switching(500 * MS, 300 * MS) and worth_switching(800 * MS, 300 * MS)
-    assert not worth_switching(90 * MS, 0)  # nearly there
+    assert not worth_switching(90 * MS, 0)  # nearly complete
--- a/tests/test_transfer_program.py
+++ b/tests/test_transfer_program.py
@@ -1,4 +1,4 @@
-"""The transfer agent as a program, its box's side by a plain HTTP client, and the operators' commands."""
+"""The transfer agent as a program, used over HTTP as its model server does, and the operators' commands."""
 
 import http.client
 import json
@@ -30,14 +30,14 @@
 
 
 def until(done, most_s=30):
-    """By time and not by a number of looks, which a fast machine has done before anything could move."""
+    """Waits by time instead of a number of checks, which a fast machine completes before anything could be transferred."""
     end = time.monotonic() + most_s
     while not done():
-        assert time.monotonic() < end, "it did not get so far"
+        assert time.monotonic() < end, "the condition was not met in time"
 
 
 class Running:
-    """An agent in a process of its own."""
+    """An agent in a separate process."""
 
     def __init__(self, folder, name, more=""):
         self.folder, self.name, self.ports = folder / name, name, free_ports(2)
@@ -81,13 +81,13 @@
         return running[-1]
 
     yield make
-    for one in running:
-        if one.process.poll() is None:
-            one.stop(signal.SIGKILL)
+    for running_agent in running:
+        if running_agent.process.poll() is None:
+            running_agent.stop(signal.SIGKILL)
 
 
 class SlowLink:
-    """A relay on a loop in a thread of its own."""
+    """A rate-limited relay on a loop in a separate thread."""
 
     def __init__(self, to, rate):
         self.loop = Loop(Clock())
@@ -108,7 +108,7 @@
         self.loop.close()
 
 
-def test_a_state_goes_from_box_to_box_through_both_agents(agents):
+def test_a_state_goes_from_server_to_server_through_both_agents(agents):
     a, b = agents("a"), agents("b")
     data = os.urandom(3_000_001)
     status, answer = a.ask("GET", "/v1/states/s%2F1")
@@ -118,11 +118,11 @@
     assert status == 201 and row["bytes"] == len(data)
     status, got = b.ask("POST", "/v1/fetches", {"name": "s/1", "from": [f"127.0.0.1:{a.ports[0]}"]})
     assert status == 200 and got["root"] == row["root"] and Path(got["file"]).read_bytes() == data
-    for _ in range(100):  # the word comes by another connection than this answer
+    for _ in range(100):  # DONE arrives on another connection than this answer
         if a.ask("GET", "/v1/states/s%2F1")[0] == 404:
             break
     else:
-        raise AssertionError("taken once, and still there")
+        raise AssertionError("the state was taken once and is still served")
     assert os.listdir(a.folder) == []
     assert b.ask("GET", "/v1/status")[1]["used_bytes"] == len(data)
     text = b.ask("GET", "/metrics")[1]
@@ -163,7 +163,7 @@
     finally:
         link.close()
     a.stop(signal.SIGKILL)
-    a.start()  # its state has a manifest, and is served again once its bytes were held against it
+    a.start()  # its state has a manifest, and is served again after it was checked
     until(lambda: a.ask("GET", "/v1/status")[1]["states"])
     assert [s["name"] for s in a.ask("GET", "/v1/status")[1]["states"]] == ["s"]
 
@@ -182,7 +182,7 @@
 # ---- on the test's own loop
 
 
-class Inside:
+class ProgramOnLoop:
     def __init__(self, folder, name="a", more=""):
         self.loop = Loop(Clock())
         self.program = Program(load_agent(settings_of(folder, name, free_ports(2), more)), start_logs("error"), self.loop)
@@ -193,7 +193,7 @@
         assert self.loop.run_until(done, 10_000_000)
 
     def ask(self, method, target, value=None):
-        """One request; -> a list that the answer comes into, and what ends the connection."""
+        """Sends a request. Returns a list that the answer is added to, and the exchange, which can be cancelled."""
         from lapiswing.http1 import Pool
 
         out, pool = [], Pool(self.loop, 8)
@@ -223,7 +223,7 @@
     made = []
 
     def make(*args, **more):
-        made.append(Inside(tmp_path / f"folder{len(made)}", *args, **more))
+        made.append(ProgramOnLoop(tmp_path / f"folder{len(made)}", *args, **more))
         return made[-1]
 
     yield make
@@ -245,12 +245,12 @@
         ({"name": "s", "from": ["a:1"], "read_anew_ms": "soon"}, "read_anew_ms"),
     ],
 )
-def test_bad_asks_get_a_reason(value, reason):
+def test_bad_fetch_requests_get_a_reason(value, reason):
     with pytest.raises(Refused, match=reason):
         parse_fetch_request(json.dumps(value).encode() if value is not None else b"{")
 
 
-def test_paths_methods_and_names_that_are_no_good(inside):
+def test_invalid_paths_methods_and_names(inside):
     p = inside()
     assert p.answer("GET", "/nothing")[0] == 404 and p.answer("POST", "/v1/states/s")[0] == 405
     assert p.answer("PUT", "/v1/states/" + "x" * 300)[0] == 400 and p.answer("PUT", "/v1/states/s?takes=x")[0] == 400
@@ -258,7 +258,7 @@
     assert p.answer("GET", "/healthz") == (200, {"draining": False})
 
 
-def test_who_asks_for_a_fetch_and_goes_ends_it_unless_another_waits(inside):
+def test_a_client_that_disconnects_ends_its_fetch_unless_another_waits(inside):
     p = inside()
     held = Relay(p.loop, ("127.0.0.1", 1))
     held.hold = True
@@ -283,7 +283,7 @@
     assert a.answer("POST", "/v1/fetches", {"name": "s", "from": ["127.0.0.1:1"]})[0] == 503
 
 
-def test_the_memory_bound_holds_for_what_boxes_put(inside):
+def test_the_memory_limit_applies_to_states_that_servers_put(inside):
     p = inside(more="memory_bytes: 100000")
     folder = Path(p.program.folder)
     for name, size in (("one", 60_000), ("two", 60_000)):
@@ -293,7 +293,7 @@
     assert p.answer("PUT", "/v1/states/two")[0] == 201
 
 
-def test_a_state_that_nobody_lets_go_of_goes_by_itself(inside):
+def test_a_state_that_is_not_released_expires(inside):
     p = inside(more="keep_ms: 50")
     (Path(p.program.folder) / "s").write_bytes(b"state")
     assert p.answer("PUT", "/v1/states/s")[0] == 201
@@ -304,8 +304,8 @@
 def test_a_file_without_manifest_is_not_served_after_a_start(tmp_path):
     folder = tmp_path / "f"
     folder.mkdir()
-    (folder / "half").write_bytes(b"its box was writing when it died")
-    p = Inside(folder)
+    (folder / "half").write_bytes(b"its server was writing when it died")
+    p = ProgramOnLoop(folder)
     p.loop.run_until(lambda: False, 50_000)
     assert not p.agent.states and (folder / "half").exists()
     p.close()
@@ -323,7 +323,7 @@
         (("log {", 'tls { key_file: "k" } log {'), "tls.certificate_file", "missing"),
     ],
 )
-def test_bad_settings_are_told_with_file_field_and_reason(tmp_path, change, field, reason):
+def test_bad_settings_are_reported_with_file_field_and_reason(tmp_path, change, field, reason):
     text = settings_of("f", "a", (1, 2))
     assert load_agent(text).memory_bytes == 4 << 30
     with pytest.raises(SettingsError) as problem:
