--- a/lapiswing/store/engine.py
+++ b/lapiswing/store/engine.py
@@ -145,7 +145,7 @@
         try:
             manifest = decode_file(self.files.read("MANIFEST"), MANIFEST_MAGIC, Manifest)
             if not manifest.segments:
-                raise Damaged("names no segment")
+                raise Damaged("lists no segment")
         except NewerVersion as problem:
             raise StoreError("newer", "MANIFEST", str(problem)) from None
         except Damaged as problem:
@@ -598,14 +598,17 @@
         engine.open_views.append(self)
 
     def get(self, key):
+        """The value of a key at the time of the snapshot, or None."""
         entry = self.index_snapshot.get(key, self.at_ms)
         return None if entry is None else self.engine.value_of(key, entry)
 
     def range(self, start=b"", end=None):
+        """As Engine.range, at the time of the snapshot."""
         for key, entry in self.index_snapshot.range(start, end, self.at_ms):
             yield key, self.engine.value_of(key, entry)
 
     def close(self):
+        """Allows the segments to be removed."""
         self.index_snapshot.close()
         if self in self.engine.open_views:
             self.engine.open_views.remove(self)
--- a/lapiswing/store/files.py
+++ b/lapiswing/store/files.py
@@ -12,6 +12,7 @@
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
 
     def path(self, name):
+        """Full path of a file."""
         return os.path.join(self.folder, name)
 
     def lock(self, name):
@@ -25,9 +26,11 @@
         return file
 
     def names(self):
+        """Names of all files, sorted."""
         return sorted(os.listdir(self.folder))
 
     def read(self, name):
+        """The contents of a file."""
         with open(self.path(name), "rb") as file:
             return file.read()
 
@@ -50,12 +53,15 @@
         return out
 
     def sync(self, fd):
+        """Makes the data of a file durable."""
         os.fdatasync(fd)
 
     def truncate(self, fd, size):
+        """Cuts a file to `size` bytes."""
         os.ftruncate(fd, size)
 
     def close(self, fd):
+        """Closes a descriptor."""
         os.close(fd)
 
     def put(self, name, data):
@@ -79,4 +85,5 @@
             os.close(fd)
 
     def remove(self, name):
+        """Deletes a file."""
         os.unlink(self.path(name))
--- a/lapiswing/store/index.py
+++ b/lapiswing/store/index.py
@@ -100,10 +100,12 @@
         self.index, self.saved = index, {}
 
     def get(self, key, now_ms):
+        """As Index.get, at the time of the snapshot."""
         entry = self.saved[key] if key in self.saved else self.index.keys.get(key)
         return None if entry is None or 0 < entry[3] <= now_ms else entry
 
     def range(self, start, end, now_ms):
+        """As Index.range, at the time of the snapshot."""
         keys = set(self.index.keys.irange(start, end, (True, False))) | {
             k for k in self.saved if k >= start and (end is None or k < end)
         }
@@ -113,5 +115,6 @@
                 yield key, entry
 
     def close(self):
+        """Stops saving replaced entries for this snapshot."""
         if self in self.index.snapshots:
             self.index.snapshots.remove(self)
--- a/lapiswing/store/memory.py
+++ b/lapiswing/store/memory.py
@@ -97,11 +97,14 @@
         self.rows = SortedDict((k, v) for k, (v, expires) in store.rows.items() if not 0 < expires <= now_ms)
 
     def get(self, key):
+        """The value of a key, or None."""
         return self.rows.get(key)
 
     def range(self, start=b"", end=None):
+        """As Memory.range."""
         for key in self.rows.irange(start, end, (True, False)):
             yield key, self.rows[key]
 
     def close(self):
+        """Discards the copy."""
         self.rows.clear()
--- a/lapiswing/store/work.py
+++ b/lapiswing/store/work.py
@@ -13,6 +13,7 @@
     """Runs each job at once, on the calling thread."""
 
     def submit(self, job, done):
+        """Runs a job and calls `done` with its result."""
         try:
             result, problem = job(), None
         except OSError as error:
@@ -20,6 +21,7 @@
         done(result, problem)
 
     def close(self):
+        """Nothing to wait for."""
         pass
 
 
@@ -36,6 +38,7 @@
         self.thread.start()
 
     def submit(self, job, done):
+        """Queues a job. Raises queue.Full."""
         self.jobs.put_nowait((job, done))
 
     def run(self):
--- a/lapiswing/tasks/run.py
+++ b/lapiswing/tasks/run.py
@@ -44,7 +44,8 @@
         self.timer = self.loop.call_later(after_us, self.on_timer)
 
     def on_timer(self):
-        self.timer = None  # the tasks run at the end of this turn
+        """The tasks run at the end of the turn that this timer has caused."""
+        self.timer = None
 
     def run_slices(self):
         """Called at the end of each turn of the loop: runs slices within the budget."""
--- a/lapiswing/transfer/agent.py
+++ b/lapiswing/transfer/agent.py
@@ -66,11 +66,12 @@
         return self.listener.address
 
     def make_server(self, *args, **more):
-        return (self.tls.server() if self.tls else Stream)(
-            *args, **more
-        )  # looked up for each connection because certificates can be reloaded
+        """The stream of an accepted connection."""
+        # Looked up for each connection because certificates can be reloaded.
+        return (self.tls.server() if self.tls else Stream)(*args, **more)
 
     def accept(self, stream, _peer):
+        """Another agent has connected."""
         self.servers.add(ServingPeer(self, stream))
 
     def put(self, name, memory):
--- a/lapiswing/transfer/machine.py
+++ b/lapiswing/transfer/machine.py
@@ -91,9 +91,9 @@
         return self.memory[offset : offset + size]
 
     def chunk_received(self, index, size):
-        """A chunk's bytes are in the buffer. Returns 'good', 'whole' (the state is complete), 'corrupt' or 'unasked'."""
+        """A chunk's bytes are in the buffer. Returns 'good', 'whole' (the state is complete), 'corrupt' or 'unrequested'."""
         if self.manifest is None or index not in self.requested or self.received[index]:
-            return "unasked"
+            return "unrequested"
         del self.requested[index]
         offset, length = self.manifest.span(index)
         if size != length or checksum_of(self.memory[offset : offset + length]) != self.manifest.checksum_of(index):
@@ -141,12 +141,12 @@
         outgoing = self.transfers.get(transfer)
         if outgoing is None:
             return True
-        asked = 0
+        requested = 0
         for first, last in ranges:
             if not 0 <= first < last <= count:
                 return False
-            asked += last - first
-            if asked > count:
+            requested += last - first
+            if requested > count:
                 return False
             outgoing.queue.extend(range(first, last))
         if len(outgoing.queue) > 2 * count:
--- a/lapiswing/transfer/peers.py
+++ b/lapiswing/transfer/peers.py
@@ -142,12 +142,14 @@
         self.stream.write(encode_control(kind, transfer, value))
 
     def on_data(self, data):
+        """The stream has received bytes."""
         try:
             self.frames.feed(data)
         except BadFrame as problem:
             self.protocol_error(problem)
 
     def on_filled(self):
+        """The stream has filled the buffer passed to `read_into`."""
         try:
             self.frames.chunk_filled()
         except BadFrame as problem:
@@ -160,6 +162,7 @@
         self.stream.abort()
 
     def on_frame(self, kind, transfer, value):
+        """Performs the handshake; later frames go to `handle_frame`. Raises BadFrame."""
         if self.ready:
             return self.handle_frame(kind, transfer, value)
         if kind == HELLO and self.peer_hello is None:
@@ -191,13 +194,16 @@
         pass
 
     def on_eof(self):
+        """The peer has closed its side of the connection."""
         self.stream.close()
 
     def on_closed(self, why):
+        """The connection has been closed, by either side."""
         self.timer.cancel()
         self.on_disconnected(why or "closed")
 
     def on_drained(self):
+        """The stream's buffer has space again."""
         pass
 
 
@@ -213,6 +219,7 @@
             stream.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, 2 * UNSENT_BYTES)
 
     def handle_frame(self, kind, transfer, value):
+        """Handles a control frame of the receiver. Raises BadFrame."""
         if kind == OPEN:
             state = self.agent.states.get(value.name)
             if state is None:
@@ -289,6 +296,7 @@
         super().__init__(agent, stream, "client")
 
     def on_ready(self):
+        """Starts the fetches that wait for this link."""
         for fetch in self.agent.awaiting_link.pop(self.address, []):
             fetch.on_link_ready(self)
 
@@ -308,6 +316,7 @@
         self.send(LIST, self.last_transfer, Empty())
 
     def handle_frame(self, kind, transfer, value):
+        """Handles a control frame of the holder. Raises BadFrame."""
         if kind == STATES:
             done = self.list_callbacks.pop(transfer, None)
             return done and done(value)
@@ -321,13 +330,13 @@
         if kind == MANIFEST:
             if value.name != fetch.name:
                 raise BadFrame("manifest of another state")
-            what = fetch.receiver.accept_manifest(value)
-            if what == "no room":
+            result = fetch.receiver.accept_manifest(value)
+            if result == "no room":
                 return fetch.finish("no room")
             fetch.opened = True
-            if what == "other":
+            if result == "other":
                 self.agent.counts["started over"] += 1
-            elif what == "same":
+            elif result == "same":
                 self.agent.counts["resumed"] += 1
             fetch.reported_missing = fetch.receiver.missing
             if not fetch.receiver.missing:
@@ -348,32 +357,34 @@
 
     def pump(self):
         """Requests as many chunks as the window allows, in the order of `decide.order_moves`."""
-        room = self.window.allowed() - self.in_flight()
-        if room <= 0 or not self.ready or self.stream.closed:
+        free_slots = self.window.allowed() - self.in_flight()
+        if free_slots <= 0 or not self.ready or self.stream.closed:
             return
         now = self.loop.clock.now_us()
         opened = {f.transfer: f for f in self.fetches.values() if f.opened}
         moves = [decide.Move(t, f.due_us, f.receiver.left()) for t, f in opened.items()]
         for transfer in opened if self.agent.plain else decide.order_moves(moves, now, self.window.rate):
-            ranges = opened[transfer].receiver.request_chunks(room, now)
+            ranges = opened[transfer].receiver.request_chunks(free_slots, now)
             if ranges:
-                asked = sum(b - a for a, b in ranges)
-                self.send(WANT, transfer, Want(ranges, asked))
-                room -= asked
-                if room <= 0:
+                count = sum(b - a for a, b in ranges)
+                self.send(WANT, transfer, Want(ranges, count))
+                free_slots -= count
+                if free_slots <= 0:
                     return
 
     def buffer_for(self, transfer, index, size):
+        """The buffer for a chunk, or None to skip it."""
         self.last_progress_us = self.loop.now  # also for chunks of cancelled fetches: the link is alive
         fetch = self.fetches.get(transfer)
         return fetch.buffer_for(index) if fetch is not None else None
 
     def on_chunk(self, transfer, index, size):
+        """A chunk has arrived in its buffer: verifies it and requests more."""
         fetch = self.fetches.get(transfer)
         if fetch is None:
             return
         receiver, now = fetch.receiver, self.loop.clock.now_us()
-        asked, in_flight = receiver.requested.get(index, now), self.in_flight()
+        requested_us, in_flight = receiver.requested.get(index, now), self.in_flight()
         result = receiver.chunk_received(index, size)
         if result == "corrupt":
             self.agent.counts["corrupt chunks"] += 1
@@ -387,7 +398,7 @@
             self.agent.counts["bytes received"] += size
             fetch.failures[self.address] = 0
             fetch.received_bytes += size
-            self.window.chunk_verified(now - asked, size, in_flight)
+            self.window.chunk_verified(now - requested_us, size, in_flight)
             if result == "whole":
                 self.complete(fetch)
             elif (
@@ -435,6 +446,7 @@
             self.stream.abort()
 
     def on_disconnected(self, why):
+        """Fails all fetches on this link, which then continue elsewhere."""
         if self.agent.links.get(self.address) is self:
             del self.agent.links[self.address]
         self.window.on_connection_lost()
@@ -461,9 +473,11 @@
         self.receiver = self
 
     def on_link_ready(self, link):
+        """The link is open: sends DONE again."""
         link.send_done(self)
 
     def on_link_failed(self, _holder, _why, final=False):
+        """The link has failed: tries again after a pause, or gives up."""
         pause = next(self.pauses, None)
         if pause is None:
             self.agent.counts["words lost"] += 1
@@ -471,8 +485,10 @@
             self.agent.loop.call_later(pause, self.retry)
 
     def retry(self):
+        """Sends DONE again, on a new link if needed."""
         if not self.agent.closed:
             self.agent.attach_to_holder(self.holder, self)
 
     def connection_lost(self):
+        """As Receiver.connection_lost; there is nothing to request again."""
         pass
--- a/lapiswing/transfer/serve.py
+++ b/lapiswing/transfer/serve.py
@@ -50,6 +50,7 @@
         self.metrics, self.draining, self.listener = Metrics(self.collect_metrics), False, None
 
     def make_tls(self, settings):
+        """The TLS contexts of the settings, or None. Raises CertificateError."""
         if not settings.HasField("tls"):
             return None
         return Tls(
@@ -61,6 +62,7 @@
         )
 
     def start(self):
+        """Listens on both ports and serves the complete states in the folder."""
         s = self.settings
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
         self.address = self.agent.listen(s.listen.host, s.listen.port)
@@ -361,6 +363,7 @@
             self.reload_certificates()
 
     def watch_signals(self):
+        """Installs the handlers of SIGTERM, SIGINT and SIGHUP."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.drain)
         self.loop.on_signal(signal.SIGHUP, self.on_hangup)
@@ -383,6 +386,7 @@
         self.loop.stop()
 
     def close(self):
+        """Cancels all fetches and closes the agent and the HTTP port."""
         for pending in list(self.pending_fetches.values()):
             pending.cancel()
         self.agent.close()
@@ -398,6 +402,7 @@
         self.program, self.name, self.exchanges = program, request["name"], []
 
     def start(self, request):
+        """Starts the fetch that a request asks for."""
         now = self.program.loop.clock.now_us()
         alternatives = {
             what: round(request[key] * MS)
@@ -417,6 +422,7 @@
         )
 
     def join(self, exchange):
+        """Adds a request that waits for this fetch."""
         self.exchanges.append(exchange)
         exchange.on_left = lambda: self.client_left(exchange)
 
@@ -427,6 +433,7 @@
             self.cancel()
 
     def cancel(self):
+        """Cancels the fetch."""
         self.program.pending_fetches.pop(self.name, None)
         self.running_fetch.cancel()
         self.keep_partial_state()
@@ -437,6 +444,7 @@
             self.program.start_part_expiry(self.name)
 
     def done(self, fetch):
+        """The fetch has ended: serves the state or keeps the part file, and answers the requests."""
         program = self.program
         program.pending_fetches.pop(self.name, None)
         ms = (program.loop.clock.now_us() - fetch.start_us) // MS
--- a/lapiswing/transfer/states.py
+++ b/lapiswing/transfer/states.py
@@ -10,7 +10,8 @@
 Therefore the order of writes does not matter, and a crash at any step keeps the chunks that had reached the file:
     before the part's manifest is in place              a part without manifest, which is deleted
     while chunks arrive                                 chunks that reached the file pass the check, the others don't
-    between the two renames of a complete state         the manifest, with the part or alone: the part is continued
+    between the two renames of a complete state         the manifest beside the part, which is continued; a manifest alone is
+                                                        deleted
     after the renames                                   a complete state, checked against its manifest before it is served"""
 
 import mmap
@@ -37,12 +38,14 @@
         self.manifest = manifest_of(name, self.memory, chunk)
 
     def write(self, stream, transfer, index):
+        """Writes a chunk to a stream. Returns True."""
         offset, size = self.manifest.span(index)
         stream.write(encode_data_header(transfer, index, size))
         stream.write(self.memory[offset : offset + size])
         return True
 
     def close(self):
+        """Nothing to close."""
         pass
 
 
@@ -56,6 +59,7 @@
         self.fd = os.open(path, os.O_RDONLY)
 
     def fileno(self):
+        """The descriptor, for functions that take a file."""
         return self.fd
 
     def __del__(self):
@@ -72,6 +76,7 @@
         self.name, self.file, self.manifest = name, file, manifest
 
     def write(self, stream, transfer, index):
+        """Writes a chunk to a stream. Returns False if the file has changed its length."""
         offset, size = self.manifest.span(index)
         if self.file is None or os.fstat(self.file.fileno()).st_size != self.manifest.length:
             return False
@@ -80,6 +85,7 @@
         return True
 
     def close(self):
+        """Drops the file; it is closed when everything has been sent."""
         self.file = None
 
 
@@ -126,6 +132,7 @@
             raise ValueError("the file is empty")
 
     def step(self):
+        """Reads a slice. Returns the manifest when the whole file is read, else None."""
         end = min(self.length, self.offset + SLICE_BYTES)
         while self.offset < end:
             size = min(self.chunk, self.length - self.offset)
@@ -189,7 +196,7 @@
 
     def step(self):
         """Checks a slice of the chunks that a previous process left. Returns True when all are checked; `verified_chunks` then
-        has 1 for each valid one. The file is read instead of the map, because reading a hole through the map allocates memory."""
+        has 1 for each valid one. The file is read instead of the map, because reading a hole through the map takes up space."""
         buffer, end = memoryview(bytearray(self.manifest.chunk)), self.offset + max(1, SLICE_BYTES // self.manifest.chunk)
         for index in range(self.offset, min(end, len(self.verified_chunks))):
             offset, size = self.manifest.span(index)
@@ -205,6 +212,7 @@
         return self.path
 
     def close(self):
+        """Closes the file and keeps it."""
         if self.fd is not None:
             os.close(self.fd)
             self.fd = None
