--- a/lapiswing/transfer/serve.py
+++ b/lapiswing/transfer/serve.py
@@ -63,10 +63,10 @@
 
     def start(self):
         """Listens on both ports and serves the complete states in the folder."""
-        s = self.settings
+        settings = self.settings
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
-        self.address = self.agent.listen(s.listen.host, s.listen.port)
-        self.listener = Listener(self.loop, listen_socket(s.control.host, s.control.port), self.server.accept)
+        self.address = self.agent.listen(settings.listen.host, settings.listen.port)
+        self.listener = Listener(self.loop, listen_socket(settings.control.host, settings.control.port), self.server.accept)
         self.server.listener, self.control = self.listener, self.listener.address
         states, parts = scan(self.folder)
         for name in states:
@@ -83,7 +83,7 @@
         self.loop.call_later(CERTIFICATE_CHECK_US, self.check_certificates)
         self.log.info(
             "listening",
-            agent=s.name,
+            agent=settings.name,
             host=self.address[0],
             port=self.address[1],
             control=self.control[1],
@@ -259,40 +259,40 @@
             "cold": now < agent.slow_start_until_us,
             "draining": self.draining,
             "certificate_days": self.tls.days if self.tls else None,
-            "states": [state_row(s) for s in agent.states.values()],
+            "states": [state_row(state) for state in agent.states.values()],
             "fetches": [
                 {
-                    "name": f.name,
-                    "bytes": f.receiver.manifest.length if f.receiver.manifest else None,
-                    "left": f.receiver.left(),
-                    "breaks": f.breaks,
-                    "waits": f in agent.queued_fetches,
-                    "from": list(f.link.address) if f.link else None,
-                    "ms": (now - f.start_us) // MS,
+                    "name": fetch.name,
+                    "bytes": fetch.receiver.manifest.length if fetch.receiver.manifest else None,
+                    "left": fetch.receiver.left(),
+                    "breaks": fetch.breaks,
+                    "waits": fetch in agent.queued_fetches,
+                    "from": list(fetch.link.address) if fetch.link else None,
+                    "ms": (now - fetch.start_us) // MS,
                 }
-                for f in agent.fetches
+                for fetch in agent.fetches
             ],
             "sends": [
                 {
-                    "name": t.state.name,
+                    "name": outgoing.state.name,
                     "to": server.peer_hello.agent,
-                    "chunks": t.state.manifest.count(),
-                    "sent": t.sent,
-                    "verified": t.verified,
+                    "chunks": outgoing.state.manifest.count(),
+                    "sent": outgoing.sent,
+                    "verified": outgoing.verified,
                 }
                 for server in agent.servers
                 if server.ready
-                for t in server.sender.transfers.values()
+                for outgoing in server.sender.transfers.values()
             ],
             "paths": [
                 {
-                    "from": list(a),
-                    "rate": w.rate,
-                    "window": w.allowed(),
-                    "chunk_us": w.typical_delay_us,
-                    "bad": round(agent.paths.failure_score.get(a, 0.0), 3),
+                    "from": list(address),
+                    "rate": window.rate,
+                    "window": window.allowed(),
+                    "chunk_us": window.typical_delay_us,
+                    "bad": round(agent.paths.failure_score.get(address, 0.0), 3),
                 }
-                for a, w in agent.windows.items()
+                for address, window in agent.windows.items()
             ],
             "counts": agent.counts,
         }
@@ -315,22 +315,26 @@
                 ({"what": "states"}, len(agent.states)),
                 ({"what": "fetches"}, len(agent.fetches)),
                 ({"what": "held back"}, len(agent.queued_fetches)),
-                ({"what": "sends"}, sum(len(s.sender.transfers) for s in agent.servers)),
+                ({"what": "sends"}, sum(len(server.sender.transfers) for server in agent.servers)),
             ],
         )
         if self.tls:
             yield "lapiswing_transfer_certificate_days", "gauge", "Until the first certificate ends", [({}, self.tls.days)]
         for name, text, value in (
-            ("rate_bytes", "Bytes a second, lately", lambda a, w: w.rate or 0),
-            ("window_chunks", "Chunks that may be on their way", lambda a, w: w.allowed()),
-            ("chunk_seconds", "From asking for a chunk to having it, lately", lambda a, w: (w.typical_delay_us or 0) / 1e6),
-            ("bad", "Part of the last moves that broke", lambda a, w: agent.paths.failure_score.get(a, 0.0)),
+            ("rate_bytes", "Bytes a second, lately", lambda address, window: window.rate or 0),
+            ("window_chunks", "Chunks that may be on their way", lambda address, window: window.allowed()),
+            (
+                "chunk_seconds",
+                "From asking for a chunk to having it, lately",
+                lambda address, window: (window.typical_delay_us or 0) / 1e6,
+            ),
+            ("bad", "Part of the last moves that broke", lambda address, window: agent.paths.failure_score.get(address, 0.0)),
         ):
             yield (
                 f"lapiswing_transfer_path_{name}",
                 "gauge",
                 text,
-                [({"holder": f"{a[0]}:{a[1]}"}, value(a, w)) for a, w in agent.windows.items()],
+                [({"holder": f"{address[0]}:{address[1]}"}, value(address, window)) for address, window in agent.windows.items()],
             )
 
     # ---- certificates, signals, shutdown
@@ -514,8 +518,14 @@
 
 def state_row(state):
     """A state as the HTTP interface describes it."""
-    m = state.manifest
-    return {"name": state.name, "bytes": m.length, "chunks": m.count(), "chunk_bytes": m.chunk, "root": m.root.hex()}
+    manifest = state.manifest
+    return {
+        "name": state.name,
+        "bytes": manifest.length,
+        "chunks": manifest.count(),
+        "chunk_bytes": manifest.chunk,
+        "root": manifest.root.hex(),
+    }
 
 
 def folder_rows(folder):
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -39,7 +39,7 @@
     return model
 
 
-def test_reads_say_what_was_put_last_in_order(place):
+def test_reads_return_the_last_put_in_key_order(place):
     store, model = place.open(), {}
     for items in steps(1):
         reported = []
@@ -52,7 +52,7 @@
     store.close()
 
 
-def test_a_batch_is_told_once_and_in_order(place):
+def test_done_is_called_once_per_batch_and_in_order(place):
     store, reported = place.open(), []
     for i in range(20):
         store.put([(b"k", b"%d" % i, 0)], lambda why, i=i: reported.append((i, why)))
@@ -60,7 +60,7 @@
     assert reported == [(i, None) for i in range(20)]
 
 
-def test_a_snapshot_stays_while_all_changes(place):
+def test_a_snapshot_does_not_change(place):
     store, model = place.open(), {}
     put_all(store, model, steps(2))
     view, then = store.snapshot(), dict(model)
@@ -73,7 +73,7 @@
     store.close()
 
 
-def test_what_is_over_is_not_read_and_can_be_taken_out(place):
+def test_expired_entries_are_not_read_and_can_be_deleted(place):
     store = place.open()
     store.put([(b"a", b"1", place.now.ms + 100), (b"b", b"2", 0)])
     assert store.get(b"a") == b"1"
@@ -99,7 +99,7 @@
     store.close()
 
 
-def test_a_full_disk_refuses_whole_batches_and_goes_on_when_there_is_room(filled):
+def test_a_full_store_refuses_whole_batches_and_recovers_when_there_is_space(filled):
     place = filled
     store, model = place.open(), {}
     put_all(store, model, steps(5, 10))
@@ -114,7 +114,7 @@
     store.close()
 
 
-def test_closed_it_takes_nothing_and_closing_again_does_no_harm(place):
+def test_a_closed_store_refuses_writes_and_can_be_closed_again(place):
     store = place.open()
     store.put([(b"a", b"1", 0)])
     store.close()
@@ -123,7 +123,7 @@
     store.close()
 
 
-def test_a_second_opening_of_what_is_open_is_refused(place):
+def test_opening_an_open_store_is_refused(place):
     store = place.open()
     with pytest.raises(StoreError) as problem:
         (place.open if place.is_durable else store.open)()
@@ -131,7 +131,7 @@
     store.close()
 
 
-def test_what_was_acknowledged_is_there_after_a_start(place):
+def test_acknowledged_writes_are_found_after_reopening(place):
     store, model = place.open(), {}
     put_all(store, model, steps(6, 60))
     store.close()
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_after_a_cut_the_acknowledged_is_there_and_the_rest_whole_or_absent(powered, seed):
+def test_after_a_power_cut_acknowledged_batches_are_complete_and_others_atomic(powered, seed):
     """Power cut at a random disk operation, also in the middle of a batch."""
     place = powered
     rng = random.Random(seed)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -44,28 +44,28 @@
     model, states = dict(model or {}), []
     states.append(dict(model))
     for items in steps:
-        out = []
-        engine.put(items, out.append)
-        assert out == [None]
+        results = []
+        engine.put(items, results.append)
+        assert results == [None]
         for key, value, _ in items:
             model.pop(key, None) if value is None else model.__setitem__(key, value)
         states.append(dict(model))
     return states
 
 
-def random_batches(rng, n, keys=12, most=400):
-    out = []
+def random_batches(rng, n, keys=12, max_bytes=400):
+    batches = []
     for _ in range(n):
-        out.append(
+        batches.append(
             [
-                (b"k%d" % rng.randrange(keys), None if rng.random() < 0.2 else rng.randbytes(rng.choice((3, 40, most))), 0)
+                (b"k%d" % rng.randrange(keys), None if rng.random() < 0.2 else rng.randbytes(rng.choice((3, 40, max_bytes))), 0)
                 for _ in range(rng.choice((1, 1, 2, 5)))
             ]
         )
-    return out
+    return batches
 
 
-def test_put_get_delete_range_and_what_is_left_after_a_start(tmp_path):
+def test_put_get_delete_range_and_contents_after_reopening(tmp_path):
     engine = open_engine(Files(tmp_path))
     states = run(engine, random_batches(random.Random(1), 60))
     assert contents(engine) == states[-1] and list(engine.range(b"k1", b"k2")) == sorted(
@@ -92,7 +92,7 @@
     files = SimFiles()
     engine = open_engine(files, segment_bytes=segment_bytes)
     states, marks, model = [{}], [dict((n, len(f.now)) for n, f in files.files.items())], {}
-    for items in random_batches(random.Random(5), 24, most=150):
+    for items in random_batches(random.Random(5), 24, max_bytes=150):
         (after,) = run(engine, [items], model)[1:]
         model = after
         states.append(after)
@@ -101,15 +101,15 @@
 
 
 def copy_of(files, change=None):
-    out = SimFiles()
+    copied = SimFiles()
     for name, file in files.files.items():
-        new = out.files[name] = type(file)()
+        new = copied.files[name] = type(file)()
         new.now = bytearray(file.now)
         if change and name == change[0]:
             change[1](new.now)
         new.safe = bytearray(new.now)
-    out.safe_names = dict(out.files)
-    return out
+    copied.safe_names = dict(copied.files)
+    return copied
 
 
 def test_the_active_segment_cut_at_every_byte():
@@ -122,13 +122,13 @@
 
         cut_files = copy_of(files, (name, cut))
         found = contents(open_engine(cut_files))
-        whole = max(i for i, m in enumerate(marks) if m[name] <= max(size, SEGMENT_HEADER.size))
+        complete = max(i for i, m in enumerate(marks) if m[name] <= max(size, SEGMENT_HEADER.size))
         # Exactly the batches that were completely written are found.
-        assert found == states[whole], size
+        assert found == states[complete], size
         again = open_engine(unlocked(cut_files))
-        assert contents(again) == states[whole]
+        assert contents(again) == states[complete]
         run(again, [[(b"new", b"1", 0)]])
-        assert contents(open_engine(unlocked(cut_files))) == {**states[whole], b"new": b"1"}
+        assert contents(open_engine(unlocked(cut_files))) == {**states[complete], b"new": b"1"}
 
 
 def unlocked(files):
@@ -200,7 +200,7 @@
     """Includes cuts during compaction and while the manifest or a hint file is written. All acknowledged batches are found, and
     the contents are a prefix of what was put."""
     rng = random.Random(seed)
-    steps = random_batches(rng, 40, most=150)
+    steps = random_batches(rng, 40, max_bytes=150)
     probe = SimFiles()
     run_until_power_cut(probe, steps, None, rng)
     for _ in range(12):
@@ -235,9 +235,9 @@
             for key, value, _ in items:
                 model.pop(key, None) if value is None else model.__setitem__(key, value)
             states.append(dict(model))
-            out = []
-            engine.put(items, out.append)
-            assert out == [None]
+            results = []
+            engine.put(items, results.append)
+            assert results == [None]
             acknowledged = i + 1
             if i % 7 == 6:
                 for _ in engine.compact():
@@ -248,7 +248,7 @@
     return states, acknowledged
 
 
-def test_a_frame_that_was_lost_before_one_that_says_it_was_there_is_damage_and_a_torn_group_is_not():
+def test_a_lost_durable_frame_is_damage_and_a_torn_group_is_not():
     head = encode_segment_header(1)
     one, two = encode_frame(1, 1, 0, 5, [(b"a", b"1", 0)]), encode_frame(1, 2, 1, 5, [(b"b", b"2", 0)])
     group = encode_frame(1, 2, 0, 5, [(b"b", b"2", 0)])
@@ -311,7 +311,7 @@
         assert engine.index.bytes == sum(engine.index.cost(k, e[2]) for k, e in engine.index.keys.items())
 
 
-def test_a_clock_that_steps_back_brings_nothing_back(tmp_path):
+def test_expired_entries_stay_expired_when_the_clock_is_set_back(tmp_path):
     now = FakeClock()
     engine = open_engine(Files(tmp_path), now)
     run(engine, [[(b"k", b"v", now.ms + 1000)]])
@@ -329,9 +329,9 @@
 def test_a_snapshot_stays_as_it_was_while_all_changes_and_is_compacted():
     files = SimFiles()
     engine = open_engine(files, segment_bytes=600)
-    before = run(engine, random_batches(random.Random(3), 30, most=300))[-1]
+    before = run(engine, random_batches(random.Random(3), 30, max_bytes=300))[-1]
     view = engine.snapshot()
-    after = run(engine, random_batches(random.Random(4), 30, most=300), before)[-1]
+    after = run(engine, random_batches(random.Random(4), 30, max_bytes=300), before)[-1]
     for _ in range(3):
         for _ in engine.compact():
             pass
@@ -345,7 +345,7 @@
     assert len(engine.segments) < segments and contents(engine) == after
 
 
-def test_compaction_makes_room_and_deletes_stay_deleted():
+def test_compaction_frees_space_and_deleted_keys_stay_deleted():
     files = SimFiles()
     engine = open_engine(files, segment_bytes=2000)
     for i in range(300):
@@ -361,7 +361,7 @@
     assert len(contents(open_engine(files))) == 10
 
 
-def test_what_is_put_while_a_compaction_waits_for_room_is_not_overwritten_by_its_copy(monkeypatch):
+def test_a_put_during_a_compaction_is_not_overwritten_by_its_copy(monkeypatch):
     from lapiswing.store import engine as module
 
     files = SimFiles()
@@ -402,24 +402,24 @@
 
 @pytest.mark.parametrize("errno,mode", [(28, "full"), (5, "failed"), (30, "failed")])
 @pytest.mark.parametrize("what", ["write", "sync"])
-def test_what_can_not_be_written_is_not_claimed(errno, mode, what):
+def test_a_failed_write_is_reported_and_not_visible(errno, mode, what):
     files, now = SimFiles(), FakeClock()
     engine = open_engine(files, now)
     states = run(engine, random_batches(random.Random(2), 10))
     fail = files.fail = FailOn(what)
     fail.errno, fail.on = errno, True
-    out = []
-    engine.put([(b"k1", b"new", 0), (b"lost", b"x", 0)], out.append)
-    assert out and out[0] and engine.mode == mode and contents(engine) == states[-1]
-    engine.put([(b"more", b"x", 0)], out.append)
-    assert len(out) == 2 and out[1] and engine.counts["refused"] == 1
+    results = []
+    engine.put([(b"k1", b"new", 0), (b"lost", b"x", 0)], results.append)
+    assert results and results[0] and engine.mode == mode and contents(engine) == states[-1]
+    engine.put([(b"more", b"x", 0)], results.append)
+    assert len(results) == 2 and results[1] and engine.counts["refused"] == 1
     fail.on = False
     now.ms += 5000
-    engine.put([(b"later", b"x", 0)], out.append)
+    engine.put([(b"later", b"x", 0)], results.append)
     if mode == "full":
-        assert out[2] is None and contents(engine) == {**states[-1], b"later": b"x"}
+        assert results[2] is None and contents(engine) == {**states[-1], b"later": b"x"}
     else:
-        assert out[2]  # after a failed sync the contents of the disk are unknown
+        assert results[2]  # after a failed sync the contents of the disk are unknown
     engine.close()
     files.fail = None
     found = contents(open_engine(files, now))
@@ -427,7 +427,7 @@
     assert found.items() >= {k: v for k, v in states[-1].items() if k != b"k1"}.items()
 
 
-def test_a_roll_that_fails_half_way_and_goes_on(tmp_path):
+def test_a_segment_switch_that_fails_at_any_operation(tmp_path):
     for at in range(12):
         files, now = SimFiles(), FakeClock()
         engine = open_engine(files, now, segment_bytes=300)
@@ -440,11 +440,11 @@
                 raise OSError(28, "No space left on device")
 
         files.fail = fail
-        out = []
-        engine.put([(b"b", b"1", 0)], out.append)
+        results = []
+        engine.put([(b"b", b"1", 0)], results.append)
         now.ms += 5000
-        engine.put([(b"c", b"2", 0)], out.append)
-        model = {**model, **({} if out[0] else {b"b": b"1"}), **({} if out[1] else {b"c": b"2"})}
+        engine.put([(b"c", b"2", 0)], results.append)
+        model = {**model, **({} if results[0] else {b"b": b"1"}), **({} if results[1] else {b"c": b"2"})}
         assert contents(engine) == model
         files.fail = None
         crashed = files.crash(random.Random(at))
@@ -482,12 +482,12 @@
 def test_group_commit_on_the_loop_in_order_and_reads_meanwhile(tmp_path):
     loop = Loop(Clock())
     engine = Engine(Files(tmp_path), Worker(loop)).open()
-    out = []
+    results = []
     for i in range(500):
-        engine.put([(b"k%d" % (i % 50), b"%d" % i, 0)], lambda why, i=i: out.append((i, why)))
+        engine.put([(b"k%d" % (i % 50), b"%d" % i, 0)], lambda why, i=i: results.append((i, why)))
         assert engine.get(b"k%d" % (i % 50)) == b"%d" % i
-    assert loop.run_until(lambda: len(out) == 500, 10_000_000)
-    assert out == [(i, None) for i in range(500)] and engine.counts["groups"] < 100
+    assert loop.run_until(lambda: len(results) == 500, 10_000_000)
+    assert results == [(i, None) for i in range(500)] and engine.counts["groups"] < 100
     assert threading.active_count() >= 2
     engine.close()
     again = open_engine(Files(tmp_path))
@@ -496,7 +496,7 @@
     loop.close()
 
 
-def test_hints_make_no_difference_to_what_is_found(tmp_path):
+def test_contents_are_the_same_with_and_without_hint_files(tmp_path):
     engine = open_engine(Files(tmp_path), segment_bytes=2000)
     states = run(engine, random_batches(random.Random(8), 200, keys=40))
     engine.close()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -11,7 +11,7 @@
 S = 1_000_000
 
 
-def names(jobs, n, now=0, step=1000, took=200, moved=0):
+def names_of_slices(jobs, n, now=0, step=1000, took=200, moved=0):
     out = []
     for _ in range(n):
         now += step
@@ -22,35 +22,35 @@
     return out
 
 
-def test_priority_goes_first_and_equals_take_turns():
-    assert names([Job("low", 7, 0), Job("a", 2, 0), Job("b", 2, 0)], 6) == ["a", "b", "a", "b", "a", "b"]
+def test_lower_priority_numbers_go_first_and_equals_take_turns():
+    assert names_of_slices([Job("low", 7, 0), Job("a", 2, 0), Job("b", 2, 0)], 6) == ["a", "b", "a", "b", "a", "b"]
 
 
-def test_a_share_is_kept_and_the_rest_goes_to_others():
+def test_a_share_of_time_is_enforced_and_the_rest_goes_to_others():
     # 200 us a slice, 1000 us apart: a tenth of the time is one slice in two.
     jobs = [Job("thin", 1, 0, share=0.1), Job("other", 5, 0)]
-    got = names(jobs, 6000)
+    got = names_of_slices(jobs, 6000)
     assert 0.45 < got[2000:].count("thin") / 4000 < 0.55
 
 
-def test_bytes_a_second_are_kept():
-    got = names([Job("mover", 1, 0, bytes_per_s=1_000_000)], 5000, moved=10_000)
+def test_bytes_per_second_are_enforced():
+    got = names_of_slices([Job("mover", 1, 0, bytes_per_s=1_000_000)], 5000, moved=10_000)
     assert 490 <= got.count("mover") <= 600  # five seconds with 100 slices each, and the initial allowance
 
 
-def test_the_lowest_priority_is_late_but_never_forgotten():
-    got = names([Job("busy", 1, 0), Job("poor", 9, 0)], 10_000)
+def test_the_lowest_priority_does_not_starve():
+    got = names_of_slices([Job("busy", 1, 0), Job("poor", 9, 0)], 10_000)
     gaps = [i for i, n in enumerate(got) if n == "poor"]
     assert 4 <= len(gaps) <= 6 and max(b - a for a, b in zip(gaps, gaps[1:])) <= 2001
 
 
-def test_what_would_be_late_goes_first():
+def test_jobs_that_are_due_soon_go_first():
     jobs = [Job("first", 1, 0), Job("due", 8, 0, due_us=1500 * MS), Job("later", 8, 0, due_us=9000 * MS)]
-    assert names(jobs, 3, now=100 * MS) == ["first"] * 3
-    assert names(jobs, 3, now=600 * MS) == ["due"] * 3
+    assert names_of_slices(jobs, 3, now=100 * MS) == ["first"] * 3
+    assert names_of_slices(jobs, 3, now=600 * MS) == ["due"] * 3
 
 
-def test_long_turns_leave_less_down_to_nothing_but_the_starved():
+def test_long_turns_reduce_the_budget_to_zero_except_for_starved_jobs():
     assert (
         budget_us(0) == budget_us(5 * MS) == TURN_BUDGET_US
         and 0 < budget_us(15 * MS) < TURN_BUDGET_US
@@ -65,7 +65,7 @@
     st.lists(st.tuples(st.integers(1, 9), st.sampled_from([0.05, 0.3, 1.0])), min_size=1, max_size=6),
     st.lists(st.integers(0, 40_000), min_size=200, max_size=200),
 )
-def test_nobody_waits_longer_than_the_bound_whatever_the_turns_are(kinds, turns):
+def test_no_job_waits_longer_than_the_limit_whatever_the_turns_are(kinds, turns):
     jobs, now = [Job(str(i), p, 0, share) for i, (p, share) in enumerate(kinds)], 0
     for turn in turns * 3:
         now += 10 * MS + turn
@@ -85,26 +85,26 @@
         yield result
 
 
-def test_jobs_run_to_their_end_and_faults_end_only_their_own():
+def test_jobs_run_to_their_end_and_an_exception_ends_only_its_own_job():
     loop, log, ends = Loop(Clock(), on_error=lambda problem: None), [], []
     tasks = Tasks(loop)
 
     def broken():
         yield
-        raise ValueError("its own fault")
+        raise ValueError("its own error")
 
     tasks.add("a", work(20, log, "a", 5), done=lambda p: ends.append(("a", p)))
     tasks.add("broken", broken(), done=lambda p: ends.append(("broken", str(p))))
     gone = tasks.add("gone", work(10**9, log, "gone"), priority=9, done=lambda p: ends.append("never"))
     assert loop.run_until(lambda: len(ends) == 2, 5 * S)
-    assert sorted(ends, key=str) == [("a", None), ("broken", "its own fault")] and tasks.faults == 1
+    assert sorted(ends, key=str) == [("a", None), ("broken", "its own error")] and tasks.faults == 1
     gone.cancel()
     assert tasks.rows() == [] and {row["name"]: row["bytes"] for row in tasks.finished}["a"] == 100
     tasks.close()
     loop.close()
 
 
-def test_a_job_that_waits_does_not_spin_and_a_turn_is_not_held_up():
+def test_a_waiting_job_does_not_spin_the_loop():
     loop, state = Loop(Clock()), []
 
     def waits():
