--- a/tests/contracts/stores.py
+++ b/tests/contracts/stores.py
@@ -1,8 +1,8 @@
 """The store implementations that the contract tests run against. To add one, list it in STORES.
 
-Each is a class made with a folder: `open()` returns a store opened on the contents that the previous one left; `cut()` simulates
-a power cut, `fill()` makes the store run out of space and `room()` ends that. An implementation without one of these methods is
-left out of the tests that need it."""
+Each is a class made with a folder: `open()` returns a store opened on the contents that the previous one left; `power_cut()`
+simulates a power cut, `fill()` makes the store run out of space and `free_space()` ends that. An implementation without one of
+these methods is left out of the tests that need it."""
 
 import random
 
@@ -48,7 +48,7 @@
     def open(self):
         return Engine(self.files, InlineWorker(), self.now, segment_bytes=900).open()
 
-    def cut(self):
+    def power_cut(self):
         self.files = self.files.crash(self.rng)
 
     def fill(self):
@@ -58,7 +58,7 @@
 
         self.files.fail = fail
 
-    def room(self):
+    def free_space(self):
         self.files.fail = None
         self.now.ms += 5000
 
@@ -78,7 +78,7 @@
     def fill(self):
         self.store.put([(b"~big", b"x" * (19_990 - self.store.bytes), 0)])
 
-    def room(self):
+    def free_space(self):
         self.store.put([(b"~big", None, 0)])
 
 
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -10,11 +10,11 @@
 from lapiswing.store import StoreError
 
 
-def made(request, tmp_path):
+def make_case(request, tmp_path):
     return request.param(tmp_path)
 
 
-place, filled, powered = (make(made) for make in (those(STORES), those(STORES, "fill"), those(STORES, "cut")))
+case, filled, powered = (make(make_case) for make in (those(STORES), those(STORES, "fill"), those(STORES, "power_cut")))
 
 
 def steps(seed, n=40):
@@ -39,8 +39,8 @@
     return model
 
 
-def test_reads_return_the_last_put_in_key_order(place):
-    store, model = place.open(), {}
+def test_reads_return_the_last_put_in_key_order(case):
+    store, model = case.open(), {}
     for items in steps(1):
         reported = []
         assert store.put(items, reported.append) and reported == [None]
@@ -52,16 +52,16 @@
     store.close()
 
 
-def test_done_is_called_once_per_batch_and_in_order(place):
-    store, reported = place.open(), []
+def test_done_is_called_once_per_batch_and_in_order(case):
+    store, reported = case.open(), []
     for i in range(20):
         store.put([(b"k", b"%d" % i, 0)], lambda why, i=i: reported.append((i, why)))
     store.close()
     assert reported == [(i, None) for i in range(20)]
 
 
-def test_a_snapshot_does_not_change(place):
-    store, model = place.open(), {}
+def test_a_snapshot_does_not_change(case):
+    store, model = case.open(), {}
     put_all(store, model, steps(2))
     view, then = store.snapshot(), dict(model)
     for items in steps(3):
@@ -73,21 +73,21 @@
     store.close()
 
 
-def test_expired_entries_are_not_read_and_can_be_deleted(place):
-    store = place.open()
-    store.put([(b"a", b"1", place.now.ms + 100), (b"b", b"2", 0)])
+def test_expired_entries_are_not_read_and_can_be_deleted(case):
+    store = case.open()
+    store.put([(b"a", b"1", case.now.ms + 100), (b"b", b"2", 0)])
     assert store.get(b"a") == b"1"
-    place.now.ms += 100
+    case.now.ms += 100
     assert store.get(b"a") is None and dict(store.range()) == {b"b": b"2"}
     for _ in store.expire():
         pass
-    place.now.ms -= 1000  # expired entries stay expired when the clock is set back
+    case.now.ms -= 1000  # expired entries stay expired when the clock is set back
     assert store.get(b"a") is None and dict(store.range()) == {b"b": b"2"}
     store.close()
 
 
-def test_reading_goes_on_while_compacting(place):
-    store, model = place.open(), {}
+def test_reading_goes_on_while_compacting(case):
+    store, model = case.open(), {}
     put_all(store, model, steps(4, 120))
     for _ in range(30):
         for _ in store.compact():
@@ -100,22 +100,22 @@
 
 
 def test_a_full_store_refuses_whole_batches_and_recovers_when_there_is_space(filled):
-    place = filled
-    store, model = place.open(), {}
+    case = filled
+    store, model = case.open(), {}
     put_all(store, model, steps(5, 10))
-    place.fill()
+    case.fill()
     before, reported = dict(store.range()), []
     store.put([(b"k1", b"y" * 500, 0), (b"new", b"y" * 500, 0)], reported.append)
     assert len(reported) == 1 and reported[0]  # refused with a reason
     assert dict(store.range()) == before
-    place.room()
+    case.free_space()
     assert store.put([(b"later", b"1", 0)], reported.append) and reported[1] is None
     assert {k: v for k, v in store.range() if not k.startswith(b"~")} == {**model, b"later": b"1"}
     store.close()
 
 
-def test_a_closed_store_refuses_writes_and_can_be_closed_again(place):
-    store = place.open()
+def test_a_closed_store_refuses_writes_and_can_be_closed_again(case):
+    store = case.open()
     store.put([(b"a", b"1", 0)])
     store.close()
     reported = []
@@ -123,39 +123,39 @@
     store.close()
 
 
-def test_opening_an_open_store_is_refused(place):
-    store = place.open()
+def test_opening_an_open_store_is_refused(case):
+    store = case.open()
     with pytest.raises(StoreError) as problem:
-        (place.open if place.is_durable else store.open)()
+        (case.open if case.is_durable else store.open)()
     assert problem.value.kind == "locked" and problem.value.advice
     store.close()
 
 
-def test_acknowledged_writes_are_found_after_reopening(place):
-    store, model = place.open(), {}
+def test_acknowledged_writes_are_found_after_reopening(case):
+    store, model = case.open(), {}
     put_all(store, model, steps(6, 60))
     store.close()
-    again = place.open()
-    assert dict(again.range()) == (model if place.is_durable else {})
+    again = case.open()
+    assert dict(again.range()) == (model if case.is_durable else {})
     again.close()
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_after_a_power_cut_acknowledged_batches_are_complete_and_others_atomic(powered, seed):
     """Power cut at a random disk operation, also in the middle of a batch."""
-    place = powered
+    case = powered
     rng = random.Random(seed)
-    store, model, last = place.open(), {}, None
-    stop_at = place.files.operations + rng.randrange(5, 150)
+    store, model, last = case.open(), {}, None
+    stop_at = case.files.operations + rng.randrange(5, 150)
 
     class PowerCut(Exception):
         pass
 
     def fail(operation, name):
-        if place.files.operations >= stop_at:
+        if case.files.operations >= stop_at:
             raise PowerCut
 
-    place.files.fail = fail
+    case.files.fail = fail
     try:
         for items in steps(seed, 200):
             reported, last = [], items
@@ -164,9 +164,9 @@
             apply(model, items)
     except PowerCut:
         pass
-    place.files.fail = None
-    place.cut()
-    again = place.open()
+    case.files.fail = None
+    case.power_cut()
+    again = case.open()
     found = dict(again.range())
     assert found in (model, apply(dict(model), last))
     assert again.put([(b"after", b"1", 0)])
@@ -174,18 +174,18 @@
 
 
 def test_a_file_that_ends_at_any_byte_gives_a_prefix_of_whole_batches(powered):
-    place = powered
-    store, states, model = place.open(), [{}], {}
+    case = powered
+    store, states, model = case.open(), [{}], {}
     for items in steps(7, 6):
         store.put(items)
         states.append(dict(apply(model, items)))
     active = f"{store.active:08d}.log"
     store.close()
-    whole, found = place.files, []
+    whole, found = case.files, []
     for size in range(len(whole.files[active].now) + 1):
-        place.files = copy.deepcopy(whole)
-        del place.files.files[active].now[size:]
-        again = place.open()
+        case.files = copy.deepcopy(whole)
+        del case.files.files[active].now[size:]
+        again = case.open()
         assert dict(again.range()) in states, size
         found.append(states.index(dict(again.range())))
         again.close()
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -39,8 +39,8 @@
 
 
 def test_the_lowest_priority_does_not_starve():
-    got = names_of_slices([Job("busy", 1, 0), Job("poor", 9, 0)], 10_000)
-    gaps = [i for i, n in enumerate(got) if n == "poor"]
+    got = names_of_slices([Job("busy", 1, 0), Job("starved", 9, 0)], 10_000)
+    gaps = [i for i, n in enumerate(got) if n == "starved"]
     assert 4 <= len(gaps) <= 6 and max(b - a for a, b in zip(gaps, gaps[1:])) <= 2001
 
 
@@ -95,10 +95,10 @@
 
     tasks.add("a", work(20, log, "a", 5), done=lambda p: ends.append(("a", p)))
     tasks.add("broken", broken(), done=lambda p: ends.append(("broken", str(p))))
-    gone = tasks.add("gone", work(10**9, log, "gone"), priority=9, done=lambda p: ends.append("never"))
+    cancelled = tasks.add("cancelled", work(10**9, log, "cancelled"), priority=9, done=lambda p: ends.append("never"))
     assert loop.run_until(lambda: len(ends) == 2, 5 * S)
     assert sorted(ends, key=str) == [("a", None), ("broken", "its own error")] and tasks.faults == 1
-    gone.cancel()
+    cancelled.cancel()
     assert tasks.rows() == [] and {row["name"]: row["bytes"] for row in tasks.finished}["a"] == 100
     tasks.close()
     loop.close()
@@ -126,12 +126,12 @@
     loop = Loop(clock)
     tasks, turns = Tasks(loop), []
 
-    def hungry():
+    def endless():
         while True:
             clock.advance(100)
             yield
 
-    tasks.add("hungry", hungry())
+    tasks.add("endless", endless())
     for _ in range(50):
         before = tasks.counts["slices"]
         loop.turn(0)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -132,7 +132,7 @@
         lab.check_nothing_left()
 
 
-def test_a_sender_that_dies_at_nine_tenths_and_is_replaced_by_one_with_the_same_state():
+def test_a_sender_that_dies_at_90_percent_is_replaced_by_one_with_the_same_state():
     with Lab(2) as lab:
         data = lab.put("s", 100 * CHUNK)
         lab.relays[0].cut_after = 90 * CHUNK
@@ -146,7 +146,7 @@
         assert lab.fetcher.counts["started over"] == 0
 
 
-def test_one_with_another_state_under_the_same_name_starts_over():
+def test_a_holder_with_another_state_of_the_same_name_starts_over():
     with Lab(2) as lab:
         lab.put("s", 100 * CHUNK, seed=1, only=0)
         other = lab.put("s", 90 * CHUNK + 7, seed=2, only=1)
@@ -176,7 +176,7 @@
         assert fetch.memory == data and lab.fetcher.counts["breaks"] >= 2
 
 
-def test_half_open():
+def test_a_half_open_connection():
     with Lab(2) as lab:
         data = lab.put("s", 60 * CHUNK)
         lab.relays[0].rate = 2_000_000
@@ -188,7 +188,7 @@
         assert lab.fetcher.counts["stalls"] + lab.fetcher.counts["left for another way"] >= 1
 
 
-def test_the_only_holder_that_goes_silent_is_a_stall():
+def test_a_silent_only_holder_counts_as_a_stall():
     with Lab() as lab:
         data = lab.put("s", 60 * CHUNK)
         lab.relays[0].rate = 2_000_000
@@ -268,7 +268,7 @@
         other.close()
 
 
-def test_cancelled_chunks_are_read_past():
+def test_chunks_of_a_cancelled_fetch_are_skipped():
     with Lab() as lab:
         lab.put("a", 60 * CHUNK)
         data = lab.put("b", 60 * CHUNK, seed=2)
@@ -298,7 +298,7 @@
         assert two.memory == data and two.memory.tobytes() == data
 
 
-def test_a_slow_path_is_left_for_a_holder_that_is_faster():
+def test_a_slow_path_is_given_up_for_a_faster_holder():
     with Lab(2) as lab:
         data = lab.put("s", 200 * CHUNK)
         lab.relays[0].rate = 400_000
@@ -310,7 +310,7 @@
 @pytest.mark.parametrize(
     "alternatives,advice", [({"read anew": 300_000, "elsewhere": 20_000}, "elsewhere"), ({"read anew": 300_000}, "read anew")]
 )
-def test_a_slow_only_holder_is_left_for_what_the_caller_offers(alternatives, advice):
+def test_a_slow_only_holder_is_given_up_for_an_alternative_of_the_caller(alternatives, advice):
     with Lab() as lab:
         lab.put("s", 200 * CHUNK)
         lab.relays[0].rate = 400_000
@@ -319,7 +319,7 @@
         lab.check_nothing_left()
 
 
-def test_what_nobody_has_any_more_can_only_be_read_anew_and_a_full_receiver_asks_for_another():
+def test_advice_for_a_state_without_holder_and_for_a_full_receiver():
     with Lab(memory=10 * CHUNK) as lab:
         lab.put("big", 20 * CHUNK)
         assert lab.end(lab.fetch("none", alternatives={"elsewhere": 1})).advice == "read anew"
@@ -339,7 +339,7 @@
         assert [fetch.name for fetch in lab.ended] == ["s0", "s1", "s5", "s4", "s3", "s2"]  # in the order in which they are due
 
 
-def test_a_cold_receivers_waiting_moves_can_be_cancelled_and_expire():
+def test_queued_moves_of_a_receiver_in_slow_start_can_be_cancelled_and_expire():
     with Lab() as lab:
         lab.put("s", 20 * CHUNK)
         lab.relays[0].rate = 1_000_000
@@ -351,18 +351,18 @@
         assert not lab.fetcher.queued_fetches
 
 
-def test_progress_is_told_and_the_list_of_states_can_be_asked_for():
+def test_progress_is_reported_and_states_can_be_listed():
     with Lab() as lab:
         lab.put("s", 160 * CHUNK)
         lab.put("t", 3 * CHUNK, seed=3)
         lab.relays[0].rate = 4_000_000
         fetch, seen, lists = lab.fetch("s"), set(), []
 
-        def look():
+        def record_progress():
             seen.update(t.verified for server in lab.senders[0].servers for t in server.sender.transfers.values())
             return fetch.is_finished
 
-        lab.until(look)
+        lab.until(record_progress)
         assert len(seen) > 8 and max(seen) > 100
         next(iter(lab.fetcher.links.values())).ask_list(lists.append)
         lab.until(lambda: lists)
@@ -402,7 +402,7 @@
         intruder.close()
 
 
-def test_keys_are_changed_without_a_gap():
+def test_keys_are_rotated_without_interruption():
     with Lab(keys=(b"old",)) as lab:
         data = lab.put("s", CHUNK)
         lab.senders[0].keys = [b"old", b"new"]
@@ -481,7 +481,7 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(FAULTS, st.integers(1, 30 * CHUNK))
-def test_random_faults_every_whole_state_is_identical_and_nothing_is_held(faults, size):
+def test_random_faults_never_corrupt_a_state_and_release_all_memory(faults, size):
     with Lab(2) as lab:
         data = lab.put("s", size)
         fetches = [lab.fetch("s", expires_s=1.5) for _ in range(3)]
--- a/tests/test_transfer_files.py
+++ b/tests/test_transfer_files.py
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("name", ["../../etc/passwd", ".hidden", "a/b", "ä ö", "x" * 150, "~", "100%"])
-def test_no_name_leaves_its_folder(tmp_path, name):
+def test_no_name_leads_out_of_the_folder(tmp_path, name):
     with Lab() as lab:
         data = lab.put(name, 3 * CHUNK)
         fetch = lab.end(lab.fetch(name, folder=tmp_path))
@@ -109,7 +109,7 @@
         file_name(name)
 
 
-def test_a_receiving_agent_that_dies_goes_on_where_it_was(tmp_path):
+def test_a_restarted_agent_continues_its_fetch(tmp_path):
     with Lab() as lab:
         data = lab.put("s", 100 * CHUNK + 5)
         lab.relays[0].rate = 6_000_000
@@ -183,7 +183,7 @@
         lab.check_nothing_left()
 
 
-def test_taking_room_for_a_large_state_does_not_stop_the_loop(tmp_path):
+def test_allocating_a_large_state_does_not_block_the_loop(tmp_path):
     """Guards against allocating a large state at once: clearing half a gigabyte takes 0.3 s, in which every link appears
     stalled."""
     with Lab(memory=4 << 30, chunk=1 << 20) as lab:
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("step,found", STEPS.items())
-def test_what_a_crash_leaves_behind_is_taken_up_or_cleared(tmp_path, step, found):
+def test_files_left_by_a_crash_are_continued_or_deleted(tmp_path, step, found):
     with Lab() as lab:
         data = lab.put("s", 12 * CHUNK + 1)
         crash(tmp_path, step, lab.senders[0].states["s"].manifest, data)
@@ -323,14 +323,14 @@
         assert lab.senders[0].counts["not authenticated"] >= 1 and lab.senders[0].counts["chunks sent"] == 0
 
 
-def test_a_silent_peer_under_tls_is_given_up(tmp_path, authorities):
+def test_a_fetch_from_a_silent_peer_over_tls_fails(tmp_path, authorities):
     with secure_lab(tmp_path, authorities[0]) as lab:
         lab.put("s", CHUNK)
         lab.relays[0].hold = True
         assert lab.end(lab.fetch("s", expires_s=3)).why
 
 
-def test_the_authority_is_changed_without_a_gap(tmp_path, authorities):
+def test_the_authority_is_rotated_without_interruption(tmp_path, authorities):
     old, new = authorities
     with secure_lab(tmp_path, old) as lab:
         data = lab.put("s", 3 * CHUNK)
--- a/tests/test_transfer_machine.py
+++ b/tests/test_transfer_machine.py
@@ -193,18 +193,18 @@
 
 
 def test_options_after_a_failed_move():
-    ways = [
+    options = [
         RecoveryOption("resume", 10_000_000, 10e6, 2 * MS, 0, "a"),
         RecoveryOption("other holder", 10_000_000, 40e6, 5 * MS, 0, "b"),
         RecoveryOption("read anew", 0, None, 800 * MS),
     ]
-    assert choose_option(ways, 0, 5_000 * MS).holder == "b"
-    assert choose_option([ways[0], ways[2]], 0, 5_000 * MS).what == "read anew"
+    assert choose_option(options, 0, 5_000 * MS).holder == "b"
+    assert choose_option([options[0], options[2]], 0, 5_000 * MS).what == "read anew"
     # Near the end, resuming is faster than any other option, until it has failed too often.
-    near = RecoveryOption("resume", 100_000, 10e6, 2 * MS, 1, "a")
-    assert choose_option([near, *ways[1:]], 0, 5_000 * MS) is near
-    assert choose_option([near._replace(fails=decide.MAX_FAILURES), ways[2]], 0, 5_000 * MS).what == "read anew"
-    assert choose_option(ways, 0, 100 * MS) is None
+    nearly_complete = RecoveryOption("resume", 100_000, 10e6, 2 * MS, 1, "a")
+    assert choose_option([nearly_complete, *options[1:]], 0, 5_000 * MS) is nearly_complete
+    assert choose_option([nearly_complete._replace(fails=decide.MAX_FAILURES), options[2]], 0, 5_000 * MS).what == "read anew"
+    assert choose_option(options, 0, 100 * MS) is None
 
 
 def test_the_faulty_side_decides_the_options_of_the_caller():
--- a/tests/test_transfer_program.py
+++ b/tests/test_transfer_program.py
@@ -133,7 +133,7 @@
     assert "event=stopped" in b.stop() and b.process.returncode == 0
 
 
-def test_a_killed_agent_goes_on_after_its_start_and_serves_what_it_had(agents):
+def test_a_killed_agent_continues_its_fetch_and_serves_its_states(agents):
     a, b = agents("a"), agents("b")
     data = os.urandom(20_000_000)
     (a.folder / "s").write_bytes(data)
