--- a/lapiswing/transfer/frames.py
+++ b/lapiswing/transfer/frames.py
@@ -171,7 +171,8 @@
 
 
 class Done(msgspec.Struct, array_like=True):
-    """From the receiver: it has the complete, verified state. It is repeated, also on other connections, until it is answered.
+    """From the receiver: it has the complete, verified state. It is repeated, also on other connections, until it is
+    answered or given up.
     From the sender: the acknowledgement."""
 
     name: str
--- a/lapiswing/transfer/peers.py
+++ b/lapiswing/transfer/peers.py
@@ -186,10 +186,10 @@
             raise BadFrame(f"the peer claims to be {self.peer_hello.agent!r}, its certificate is for {self.stream.peer_names()}")
         self.ready = True
         self.timer.cancel()
-        self.on_ready()
+        self.on_authenticated()
         return None
 
-    def on_ready(self):
+    def on_authenticated(self):
         """The handshake has succeeded."""
         pass
 
@@ -295,7 +295,7 @@
         self.unacknowledged = {}  # DONE frames without an answer: transfer -> PendingDone
         super().__init__(agent, stream, "client")
 
-    def on_ready(self):
+    def on_authenticated(self):
         """Starts the fetches that wait for this link."""
         for fetch in self.agent.awaiting_link.pop(self.address, []):
             fetch.on_link_ready(self)
