--- a/lapiswing/transfer/machine.py
+++ b/lapiswing/transfer/machine.py
@@ -1,7 +1,7 @@
 """State machines of one receiver and of one sending connection, without I/O.
 
 Receiver: owns the memory of a state until it is complete. A chunk is accepted only if its checksum fits the manifest. Verified
-chunks survive the connection and the sender; a sender whose state has another root offers a different state, and the transfer
+chunks survive the connection and the sender; a sender whose state has another root has a different state, and the transfer
 starts over.
 
 Sender: the chunks requested on one connection. A chunk is sent only against credit, which the receiver grants in chunks:
