--- a/lapiswing/lab/soak/__main__.py
+++ b/lapiswing/lab/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the soak."""
+"""Command line of the soak: `python -m lapiswing.lab.soak`."""
 
 import sys
 from collections import Counter
@@ -11,7 +11,7 @@
 from lapiswing.lab.soak.oracle import judge
 
 
-def numbers(text):
+def parse_seeds(text):
     """`3,7-9` -> [3, 7, 8, 9]"""
     out = []
     for part in text.split(","):
@@ -21,40 +21,40 @@
 
 
 def report_of(seed, seconds, gateways, keep):
-    """Plays and judges one seed. -> lines to print, violations by rule, figures"""
+    """Runs and judges one seed. Returns the lines to print, the violations by rule and the troubles by kind."""
     day = play(seed, seconds, gateways, f"{keep}/{seed}" if keep else None)
-    found = judge(day)
-    statuses = Counter("left" if c.left_us is not None else c.failed or c.status for c in day.calls.values())
+    violations = judge(day)
+    statuses = Counter("left" if c.client_left_us is not None else c.failed or c.status for c in day.calls.values())
     lines = [
         f"seed {seed}: {len(day.calls)} calls {dict(statuses)}, {len(day.attempts)} attempts, {len(day.processes)} processes, "
-        f"observer's longest turn {day.runner_late_us // 1000} ms, {len(found)} violations"
+        f"observer's longest turn {day.observer_delay_us // 1000} ms, {len(violations)} violations"
     ]
-    lines += [f"    {v.rule}: {v.where}: {v.what}" for v in found[:12]]
-    if found:
+    lines += [f"    {v.rule}: {v.where}: {v.what}" for v in violations[:12]]
+    if violations:
         lines += [
             "    troubles: "
-            + ", ".join(f"{t.at_us / 1e6:.1f}s {t.kind.name}({t.lasts_us / 1e6:.1f}s #{t.target})" for _, t in day.troubles)
+            + ", ".join(f"{t.at_us / 1e6:.1f}s {t.kind.name}({t.duration_us / 1e6:.1f}s #{t.target})" for _, t in day.troubles)
         ]
-    return lines, Counter(v.rule for v in found), Counter(t.kind.name for _, t in day.troubles)
+    return lines, Counter(v.rule for v in violations), Counter(t.kind.name for _, t in day.troubles)
 
 
 @click.command()
-@click.option("--seeds", default="1", help="Which days: 5 or 1-20 or 3,7-9.")
-@click.option("--seconds", default=16.0, help="How long a day lasts.")
-@click.option("--gateways", default=10, help="How many gateway processes a day has.")
-@click.option("--jobs", default=1, help="How many days are played at once.")
-@click.option("--keep", default=None, help="A folder for logs and configurations.")
+@click.option("--seeds", default="1", help="Seeds of the days to run: 5 or 1-20 or 3,7-9.")
+@click.option("--seconds", default=16.0, help="Duration of a day.")
+@click.option("--gateways", default=10, help="Gateway processes per day.")
+@click.option("--jobs", default=1, help="Days run in parallel.")
+@click.option("--keep", default=None, help="Folder in which logs and configurations are kept.")
 def main(seeds, seconds, gateways, jobs, keep):
-    """Plays randomized days of faults with real gateway processes, and judges the standing rules from traffic."""
-    rules, kinds, bad, played = Counter(), Counter(), 0, 0
+    """Runs randomized days of faults with real gateway processes and checks the invariants from the observed traffic."""
+    rules, kinds, failed, played = Counter(), Counter(), 0, 0
     with ProcessPoolExecutor(jobs) as pool:
-        for lines, broken, troubles in pool.map(
-            partial(report_of, seconds=seconds, gateways=gateways, keep=keep), numbers(seeds)
+        for lines, violations, troubles in pool.map(
+            partial(report_of, seconds=seconds, gateways=gateways, keep=keep), parse_seeds(seeds)
         ):
             click.echo("\n".join(lines))
-            rules, kinds, bad, played = rules + broken, kinds + troubles, bad + bool(broken), played + 1
-    click.echo(f"{played} days, {bad} with violations: {dict(rules)}; troubles played: {dict(kinds)}")
-    sys.exit(1 if bad else 0)
+            rules, kinds, failed, played = rules + violations, kinds + troubles, failed + bool(violations), played + 1
+    click.echo(f"{played} days, {failed} with violations: {dict(rules)}; troubles played: {dict(kinds)}")
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/lapiswing/lab/soak/clients.py
+++ b/lapiswing/lab/soak/clients.py
@@ -1,24 +1,24 @@
-"""The clients of a soak: calls of all classes with all kinds of patience, and connections that never say anything whole."""
+"""The clients of a soak: calls of all request classes with various time limits, and connections that send no complete request."""
 
 import json
 import socket
 
 from lapiswing.http1 import Pool
+from lapiswing.lab.soak.fleet_settings import CLASS_EFFECTS
 from lapiswing.lab.soak.records import Call
-from lapiswing.lab.soak.site import CLASSES
 
-MS, S = 1000, 1_000_000
-WAITS_US = 1500 * MS  # past its deadline a client looks for an answer that comes too late
-SIP_US = 400 * MS  # a slow client looks away for so long
-STREAM_US = 12 * S  # for a whole stream
-DOOR_US = 300 * MS  # new connections reach a gateway for so long after SIGTERM
+MS, S = 1000, 1_000_000  # in microseconds
+LATE_ANSWER_WAIT_US = 1500 * MS  # a client still waits this long past its deadline, so that a late answer is seen
+SLOW_READ_PAUSE_US = 400 * MS
+STREAM_LIMIT_US = 12 * S  # for a complete stream
+NEW_CONNECTIONS_AFTER_TERM_US = 300 * MS  # the platform still sends new connections to a gateway this long after SIGTERM
 
 
-class Listener:
-    """Hears one call's answer."""
+class AnswerListener:
+    """Records the answer of one call."""
 
-    def __init__(self, clients, call, kept):
-        self.clients, self.call, self.kept = clients, call, kept
+    def __init__(self, clients, call, reused_connection):
+        self.clients, self.call, self.reused_connection = clients, call, reused_connection
         self.exchange = None
 
     @property
@@ -27,9 +27,9 @@
 
     def on_head(self, status, fields):
         self.call.status, self.call.head_us = status, self.now
-        if self.call.sips:
+        if self.call.reads_slowly:
             self.exchange.pause()
-            self.clients.loop.call_later(SIP_US, self.exchange.resume)
+            self.clients.loop.call_later(SLOW_READ_PAUSE_US, self.exchange.resume)
 
     def on_body(self, data):
         self.call.body += data
@@ -37,27 +37,29 @@
         self.call.last_bytes_us = self.now
 
     def on_end(self):
-        self.call.finals += 1
+        self.call.final_answers += 1
         self.call.end_us = self.now
-        self.clients.ended(self)
+        self.clients.call_ended(self)
 
     def on_fail(self, stage, why):
-        if stage in ("sent", "unsent") and self.kept and self.call.status is None:
-            return self.clients.send_again(self.call)  # the end of a kept connection crossed it
+        if stage in ("sent", "unsent") and self.reused_connection and self.call.status is None:
+            return self.clients.send_again(self.call)  # the gateway closed the idle connection meanwhile
         self.call.failed, self.call.end_us = stage, self.now
-        self.clients.ended(self)
+        self.clients.call_ended(self)
 
 
 class Clients:
-    def __init__(self, loop, day, chance, gateways, rate):
-        """`gateways`: GatewayProcess objects; `rate`: calls a second."""
-        self.loop, self.day, self.chance, self.gateways, self.rate = loop, day, chance, gateways, rate
+    """Starts calls at random times and connections without complete requests."""
+
+    def __init__(self, loop, day, rng, gateways, calls_per_s):
+        """`gateways`: GatewayProcess objects."""
+        self.loop, self.day, self.rng, self.gateways, self.calls_per_s = loop, day, rng, gateways, calls_per_s
         self.pools = [Pool(loop, 200, 40, 3 * S, 500 * MS) for _ in gateways]
-        self.count, self.silent, self.running = 0, [], True
-        self.open = set()
+        self.call_count, self.idle_sockets, self.running = 0, [], True
+        self.open_listeners = set()
 
     def start(self):
-        self.loop.call_later(int(self.chance.expovariate(self.rate) * S), self.arrive)
+        self.loop.call_later(int(self.rng.expovariate(self.calls_per_s) * S), self.arrive)
 
     def arrive(self):
         if not self.running:
@@ -65,106 +67,114 @@
         self.start()
         ready = [g for g in self.gateways if self.reaches(g)]
         if ready:
-            self.ask(self.chance.choice(ready))
+            self.start_call(self.rng.choice(ready))
 
     def reaches(self, gateway):
+        """Whether the platform would still send a call to this gateway."""
         run = gateway.run
         if run is None or run.ready_us is None or run.killed_us is not None:
             return False
-        return run.term_us is None or self.loop.clock.now_us() < run.term_us + DOOR_US or self.kept(gateway)
+        return (
+            run.term_us is None
+            or self.loop.clock.now_us() < run.term_us + NEW_CONNECTIONS_AFTER_TERM_US
+            or self.has_idle_connection(gateway)
+        )
 
-    def kept(self, gateway):
+    def has_idle_connection(self, gateway):
         return any(self.pools[gateway.number].idle.get(gateway.address, ()))
 
-    def ask(self, gateway):
-        self.count += 1
-        name = self.chance.choice(["chat", "chat", "order", "pay"])
-        patience_us = self.chance.choice((60, 150, 400, 1200, 3000, 3000, 3000)) * MS
-        call = Call(f"q{self.day.seed}.{self.count}", gateway.number, CLASSES[name], patience_us, self.loop.clock.now_us())
-        call.sips = self.chance.random() < 0.05
+    def start_call(self, gateway):
+        self.call_count += 1
+        name = self.rng.choice(["chat", "chat", "order", "pay"])
+        patience_us = self.rng.choice((60, 150, 400, 1200, 3000, 3000, 3000)) * MS
+        call = Call(
+            f"q{self.day.seed}.{self.call_count}", gateway.number, CLASS_EFFECTS[name], patience_us, self.loop.clock.now_us()
+        )
+        call.reads_slowly = self.rng.random() < 0.05
         self.day.calls[call.rid] = call
         self.send(call, gateway, name)
-        if self.chance.random() < 0.12:
-            self.loop.call_later(int(self.chance.uniform(0, min(1.0, patience_us / S)) * S), self.leave, call)
+        if self.rng.random() < 0.12:
+            self.loop.call_later(int(self.rng.uniform(0, min(1.0, patience_us / S)) * S), self.leave, call)
 
     def send(self, call, gateway, name, fresh=False):
-        text = f"{call.rid} " + "x" * 4 * self.chance.choice((20, 200, 2000))
+        text = f"{call.rid} " + "x" * 4 * self.rng.choice((20, 200, 2000))
         body = json.dumps({"model": name, "stream": True, "messages": [{"role": "user", "content": text}]}).encode()
         left_us = call.sent_us + call.deadline_us - self.loop.clock.now_us()
         fields = [
             (b"req-id", call.rid.encode()),
             (b"req-kind", name.encode()),
-            (b"req-key", b"k%d" % self.chance.randrange(40)),
+            (b"req-key", b"k%d" % self.rng.randrange(40)),
             (b"req-deadline", b"%.3f" % (max(MS, left_us) / S)),
-            (b"req-extra", b"prefix=p%d,prompt_len=%d,prefix_len=10,max_out=50" % (self.chance.randrange(6), len(text) // 4)),
+            (b"req-extra", b"prefix=p%d,prompt_len=%d,prefix_len=10,max_out=50" % (self.rng.randrange(6), len(text) // 4)),
         ]
         if name == "order":
             fields.append((b"idempotency-key", call.rid.encode()))
-        call.kept = not fresh and self.kept(gateway)
-        listener = call.listener = Listener(self, call, call.kept)
-        call.again = (gateway, name)
+        call.reused_connection = not fresh and self.has_idle_connection(gateway)
+        listener = call.answer_listener = AnswerListener(self, call, call.reused_connection)
+        call.resend_target = (gateway, name)
         listener.exchange = self.pools[gateway.number].request(
             gateway.address, b"POST", b"/v1/chat/completions", fields, body, listener, fresh=fresh
         )
-        self.open.add(listener)
-        self.loop.call_later(max(0, left_us) + WAITS_US, self.give_up, call, False)
-        self.loop.call_later(STREAM_US, self.give_up, call, True)
+        self.open_listeners.add(listener)
+        self.loop.call_later(max(0, left_us) + LATE_ANSWER_WAIT_US, self.give_up, call, False)
+        self.loop.call_later(STREAM_LIMIT_US, self.give_up, call, True)
 
     def send_again(self, call):
-        self.open.discard(call.listener)
-        gateway, name = call.again
+        """Sends the call once more on a new connection, if the gateway still accepts any."""
+        self.open_listeners.discard(call.answer_listener)
+        gateway, name = call.resend_target
         run = gateway.run
         if run is None or run.killed_us is not None or run.term_us is not None:
             call.failed, call.end_us = "away", self.loop.clock.now_us()
             return
-        call.first_us, call.sent_us = call.sent_us, self.loop.clock.now_us()
+        call.first_sent_us, call.sent_us = call.sent_us, self.loop.clock.now_us()
         self.send(call, gateway, name, fresh=True)
 
     def leave(self, call):
-        if call.end_us is None and call.left_us is None:
-            call.left_us = self.loop.clock.now_us()
-            call.listener.exchange.cancel()
-            self.open.discard(call.listener)
+        if call.end_us is None and call.client_left_us is None:
+            call.client_left_us = self.loop.clock.now_us()
+            call.answer_listener.exchange.cancel()
+            self.open_listeners.discard(call.answer_listener)
 
     def give_up(self, call, stream):
-        """The client has waited long past its time."""
-        if call.end_us is None and call.left_us is None and (stream or call.head_us is None):
+        """The client gives up: no response head well past its deadline, or a stream that takes too long."""
+        if call.end_us is None and call.client_left_us is None and (stream or call.head_us is None):
             call.failed, call.end_us = "nothing", self.loop.clock.now_us()
-            call.listener.exchange.cancel()
-            self.open.discard(call.listener)
+            call.answer_listener.exchange.cancel()
+            self.open_listeners.discard(call.answer_listener)
 
-    def ended(self, listener):
-        self.open.discard(listener)
+    def call_ended(self, listener):
+        self.open_listeners.discard(listener)
 
-    def crowd(self, gateway, draw, lasts_us):
-        """Connections that say nothing, half a request, or one after the other without waiting."""
-        said = (
+    def crowd(self, gateway, variant, duration_us):
+        """Opens connections that send nothing, half a request, or many pipelined requests."""
+        payloads = (
             b"",
             b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Le",
             b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n" * 40,
         )
-        for i in range(int(20 + 180 * draw)):
+        for i in range(int(20 + 180 * variant)):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(gateway.address)
-            self.silent.append(sock)
-            self.loop.call_later(20 * MS, self.say, sock, said[i % 3])
-        self.loop.call_later(lasts_us, self.disperse)
+            self.idle_sockets.append(sock)
+            self.loop.call_later(20 * MS, self.send_bytes, sock, payloads[i % 3])
+        self.loop.call_later(duration_us, self.close_idle_sockets)
 
     @staticmethod
-    def say(sock, data):
+    def send_bytes(sock, data):
         try:
             if data:
                 sock.send(data)
         except OSError:
-            pass  # it was refused or closed: that is the gateway's right
+            pass  # the gateway may refuse or close such connections
 
-    def disperse(self):
-        silent, self.silent = self.silent, []
-        for sock in silent:
+    def close_idle_sockets(self):
+        idle_sockets, self.idle_sockets = self.idle_sockets, []
+        for sock in idle_sockets:
             sock.close()
 
     def close(self):
-        self.disperse()
+        self.close_idle_sockets()
         for pool in self.pools:
             pool.close()
--- a/lapiswing/lab/soak/day.py
+++ b/lapiswing/lab/soak/day.py
@@ -1,4 +1,4 @@
-"""Plays one day of the soak: starts the fleet, lets its troubles happen, and looks at what is left at the end."""
+"""Runs one day of the soak: starts the fleet, injects its troubles, and samples resource use at the end."""
 
 import errno
 import os
@@ -15,12 +15,12 @@
 from lapiswing.lab.soak.troubles import draw
 from lapiswing.loop import Clock, Loop
 
-MS, S = 1000, 1_000_000
+MS, S = 1000, 1_000_000  # in microseconds
 ROLES = ("read", "read", "read", "write", "write", "write", "both", "both")
-READY_S, QUIET_S = 30, 5
-CALLS_A_GATEWAY = 6  # a second
-FIRST_PORT, PORTS_A_DAY, DAYS_BESIDE = 10_000, 40, 500
-STARVED_LOOK_US, LEAST_STARVED_US = 50 * MS, 2 * MS
+STARTUP_LIMIT_S, SETTLE_LIMIT_S = 30, 5
+CALLS_PER_S_PER_GATEWAY = 6
+FIRST_PORT, PORTS_PER_DAY, PARALLEL_DAYS = 10_000, 40, 500
+CPU_WAIT_POLL_US, MIN_CPU_WAIT_US = 50 * MS, 2 * MS  # shorter waits are not recorded
 FREEZE_US = 120 * MS
 ERRNOS = (
     ("accept", errno.ECONNABORTED),
@@ -31,69 +31,72 @@
     ("connect_ex", errno.ENETUNREACH),
     ("recv", errno.ENOMEM),
     ("send", errno.ENOBUFS),
-    ("send", 0),
+    ("send", 0),  # a short write
     ("sendmsg", errno.ENOMEM),
 )
 
 
 def ports_of(seed, count):
-    """Below those that the kernel hands out, and apart from days that are played beside: a restart takes its port again."""
-    first = FIRST_PORT + seed % DAYS_BESIDE * PORTS_A_DAY
+    """Ports below the kernel's ephemeral range and different for each day that runs in parallel, since a restarted gateway needs
+    its port again."""
+    first = FIRST_PORT + seed % PARALLEL_DAYS * PORTS_PER_DAY
     return list(range(first, first + count))
 
 
 class DayRunner:
+    """Runs one day. The method that applies a trouble has the lower-case name of its kind."""
+
     def __init__(self, seed, seconds, gateways, folder):
-        self.seed, self.seconds, self.chance = seed, seconds, Random(seed + 1)
+        self.seed, self.seconds, self.rng = seed, seconds, Random(seed + 1)
         self.loop, self.day = Loop(Clock()), Day(seed)
-        self.platform = SoakPlatform(self.loop, ROLES, gateways, self.day, self.chance)
+        self.platform = SoakPlatform(self.loop, ROLES, gateways, self.day, self.rng)
         ports = ports_of(seed, gateways)
         self.gateways = [
             GatewayProcess(self.loop, self.day, i, gateways, ports[i], self.platform.agents[i], folder, seed * 100 + i)
             for i in range(gateways)
         ]
-        self.clients = Clients(self.loop, self.day, self.chance, self.gateways, CALLS_A_GATEWAY * gateways)
-        self.loop.after.append(self.see_turn)
-        self.waited = {}  # gateway -> (process, time it had waited for a processor)
-        self.see_starved()
+        self.clients = Clients(self.loop, self.day, self.rng, self.gateways, CALLS_PER_S_PER_GATEWAY * gateways)
+        self.loop.after.append(self.measure_own_delay)
+        self.last_cpu_wait = {}  # gateway number -> (pid, total CPU wait at the last sample)
+        self.measure_cpu_waits()
 
-    def see_turn(self):
-        """The observer's own delays, which nobody else is to blame for."""
+    def measure_own_delay(self):
+        """Records delays of the observer's own loop, which must not count against the gateways."""
         now = self.loop.clock.now_us()
-        self.day.runner_late_us = max(self.day.runner_late_us, now - self.loop.now)
+        self.day.observer_delay_us = max(self.day.observer_delay_us, now - self.loop.now)
 
-    def see_starved(self):
-        """A process without a processor can't know when bytes came in: a machine that is busy elsewhere is not its fault."""
+    def measure_cpu_waits(self):
+        """Records how long each gateway waited for a CPU. Meanwhile it can't notice input, and a busy host is not its fault."""
         now = self.loop.clock.now_us()
         for gateway in self.gateways:
-            pid, before = self.waited.get(gateway.number, (None, 0))
-            waited = gateway.waited_us() if gateway.program is not None else 0
-            if gateway.program is not None and pid == gateway.program.pid and waited - before > LEAST_STARVED_US:
-                self.day.starved.append((gateway.number, now, waited - before))
-            self.waited[gateway.number] = (gateway.program.pid if gateway.program is not None else None, waited)
-        self.loop.call_later(STARVED_LOOK_US, self.see_starved)
+            pid, before = self.last_cpu_wait.get(gateway.number, (None, 0))
+            waited = gateway.cpu_wait_us() if gateway.program is not None else 0
+            if gateway.program is not None and pid == gateway.program.pid and waited - before > MIN_CPU_WAIT_US:
+                self.day.cpu_waits.append((gateway.number, now, waited - before))
+            self.last_cpu_wait[gateway.number] = (gateway.program.pid if gateway.program is not None else None, waited)
+        self.loop.call_later(CPU_WAIT_POLL_US, self.measure_cpu_waits)
 
     def play(self):
         try:
             for gateway in self.gateways:
                 gateway.start()
-            self.loop.run_until(lambda: all(g.run.ready_us for g in self.gateways), READY_S * S)
+            self.loop.run_until(lambda: all(g.run.ready_us for g in self.gateways), STARTUP_LIMIT_S * S)
             self.clients.start()
             begin = self.loop.clock.now_us()
             for trouble in draw(self.seed, self.seconds):
                 self.day.troubles.append((begin + trouble.at_us, trouble))
-                self.loop.call_at(begin + trouble.at_us, self.happen, trouble)
+                self.loop.call_at(begin + trouble.at_us, self.apply, trouble)
             self.loop.run_until(lambda: False, int(self.seconds * S))
             self.clients.running = False
-            self.loop.run_until(lambda: not self.clients.open and not self.platform.held, QUIET_S * S)
-            self.look_at_rest()
+            self.loop.run_until(lambda: not self.clients.open_listeners and not self.platform.held, SETTLE_LIMIT_S * S)
+            self.sample_idle_processes()
             self.end()
             return self.day
         finally:
             self.close()
 
     def end(self):
-        """Tells all to end; some may be about to be started by an earlier trouble."""
+        """Ends all gateways, including those that an earlier trouble is about to start."""
 
         def all_ended():
             for gateway in self.gateways:
@@ -102,14 +105,14 @@
 
         self.loop.run_until(all_ended, 8 * S)
 
-    def look_at_rest(self):
-        """What processes hold that have nothing to do."""
+    def sample_idle_processes(self):
+        """Samples open descriptors and CPU time of idle processes."""
         for gateway in self.gateways:
             if gateway.alive() and gateway.run.term_us is None:
                 gateway.run.descriptors.append(gateway.descriptors())
-                gateway.run.cpu_s = gateway.processor_s()
+                gateway.run.cpu_s = gateway.cpu_time_s()
 
-    def happen(self, trouble):
+    def apply(self, trouble):
         getattr(self, trouble.kind.name.lower())(trouble)
 
     def gateway(self, trouble):
@@ -119,7 +122,7 @@
         names = sorted(self.platform.servers)
         return self.platform.servers[names[trouble.target % len(names)]]
 
-    # ---- of gateways
+    # ---- troubles of gateways
 
     def stop(self, trouble):
         gateway = self.gateway(trouble)
@@ -128,10 +131,10 @@
     def stop_many(self, trouble):
         for i in range(len(self.gateways) // 3):
             gateway = self.gateways[(trouble.target + i) % len(self.gateways)]
-            self.loop.call_later(int(trouble.draw * 500) * MS * i, gateway.term, partial(self.start, gateway))
+            self.loop.call_later(int(trouble.variant * 500) * MS * i, gateway.term, partial(self.start, gateway))
 
     def log_stuck(self, trouble):
-        self.gateway(trouble).stop_reading_log(trouble.lasts_us)
+        self.gateway(trouble).stop_reading_log(trouble.duration_us)
 
     def log_gone(self, trouble):
         self.gateway(trouble).stop_reading_log(None)
@@ -140,51 +143,51 @@
         gateway = self.gateway(trouble)
         if gateway.run.term_us is None:
             gateway.kill()
-            self.loop.call_later(trouble.lasts_us // 4, self.start, gateway)
+            self.loop.call_later(trouble.duration_us // 4, self.start, gateway)
 
     @staticmethod
     def start(gateway):
-        """Unless another trouble has started it meanwhile."""
+        """Starts the gateway unless another trouble has done so meanwhile."""
         if not gateway.alive():
             gateway.start()
 
     def clock(self, trouble):
         gateway = self.gateway(trouble)
-        gateway.clock_s = (-3600, -7, 7, 3600)[int(trouble.draw * 4)]
+        gateway.clock_s = (-3600, -7, 7, 3600)[int(trouble.variant * 4)]
         self.kill(trouble)
 
     def freeze(self, trouble):
         gateway = self.gateway(trouble)
         if gateway.alive():
-            gateway.send(signal.SIGSTOP)
-            self.loop.call_later(FREEZE_US, self.thaw, gateway, gateway.program.pid)
+            gateway.signal_process(signal.SIGSTOP)
+            self.loop.call_later(FREEZE_US, self.unfreeze, gateway, gateway.program.pid)
 
     @staticmethod
-    def thaw(gateway, pid):
+    def unfreeze(gateway, pid):
         if gateway.alive() and gateway.program.pid == pid:
             os.kill(pid, signal.SIGCONT)
 
     def reload(self, trouble):
         gateway = self.gateway(trouble)
         old = gateway.agent
-        gateway.agent = self.move_agent(gateway)
-        whole = trouble.draw >= 0.3
-        gateway.reload(whole)
-        if not whole:
+        gateway.agent = self.new_agent(gateway)
+        complete = trouble.variant >= 0.3
+        gateway.reload(complete)
+        if not complete:
             self.loop.call_later(150 * MS, gateway.write_config)
-        if trouble.draw > 0.7:
+        if trouble.variant > 0.7:
             self.loop.call_later(30 * MS, gateway.reload)
-        self.loop.call_later(4 * S, self.end_agent, old)
+        self.loop.call_later(4 * S, self.close_agent, old)
 
-    def move_agent(self, gateway):
+    def new_agent(self, gateway):
         agent = Agent(self.platform, gateway.number)
         agent.index, agent.log = gateway.agent.index, list(gateway.agent.log)
         agent.silent, agent.garbage = gateway.agent.silent, gateway.agent.garbage
         self.platform.agents.append(agent)
         return agent
 
-    def end_agent(self, agent):
-        """It learns nothing any more, as the platform has left it."""
+    def close_agent(self, agent):
+        """Ends an agent that no gateway uses any more."""
         if agent in self.platform.agents:
             self.platform.agents.remove(agent)
             agent.server.listener.close()
@@ -196,16 +199,16 @@
             return
         gateway.kill()
         gateway.start()
-        self.hang_up(gateway, gateway.run, int(trouble.draw * 600) * MS)
+        self.send_reload(gateway, gateway.run, int(trouble.variant * 600) * MS)
 
-    def hang_up(self, gateway, run, after_us):
-        """Told of a new configuration so long after it has become the program."""
+    def send_reload(self, gateway, run, after_us):
+        """Reloads the configuration `after_us` after the shell has executed the gateway."""
         if gateway.run is not run or not gateway.alive():
             return
-        if not gateway.program_runs():
-            return self.loop.call_later(MS, self.hang_up, gateway, run, after_us)
+        if not gateway.program_started():
+            return self.loop.call_later(MS, self.send_reload, gateway, run, after_us)
         if after_us:
-            return self.loop.call_later(after_us, self.hang_up, gateway, run, 0)
+            return self.loop.call_later(after_us, self.send_reload, gateway, run, 0)
         gateway.reload()
 
     def errno(self, trouble):
@@ -216,44 +219,44 @@
                     "call": call,
                     "code": code,
                     "from_us": now,
-                    "to_us": now + min(trouble.lasts_us, 600 * MS),
-                    "part": 1.0 if trouble.draw < 0.3 and call == "connect_ex" else 0.3,
+                    "to_us": now + min(trouble.duration_us, 600 * MS),
+                    "part": 1.0 if trouble.variant < 0.3 and call == "connect_ex" else 0.3,
                 }
             )
-        self.day.cut_off.append((gateway.number, now, now + 600 * MS))
+        self.day.connect_failures.append((gateway.number, now, now + 600 * MS))
         gateway.write_shim()
         if gateway.run.ready_us is not None:
-            gateway.send(signal.SIGUSR2)
+            gateway.signal_process(signal.SIGUSR2)
 
     def crowd(self, trouble):
-        self.clients.crowd(self.gateway(trouble), trouble.draw, trouble.lasts_us)
+        self.clients.crowd(self.gateway(trouble), trouble.variant, trouble.duration_us)
 
-    # ---- of model servers
+    # ---- troubles of model servers
 
     def server_hang(self, trouble):
         server = self.server(trouble)
         server.mode = "hang"
-        server.broken(trouble.lasts_us + 6 * S)
-        self.loop.call_later(trouble.lasts_us, setattr, server, "mode", None)
+        server.record_outage(trouble.duration_us + 6 * S)
+        self.loop.call_later(trouble.duration_us, setattr, server, "mode", None)
 
     def server_errors(self, trouble):
         server = self.server(trouble)
         server.mode = "errors"
-        self.loop.call_later(trouble.lasts_us, setattr, server, "mode", None)
+        self.loop.call_later(trouble.duration_us, setattr, server, "mode", None)
 
     def server_crash(self, trouble):
         server = self.server(trouble)
         if server.relay.listener.closed:
             return
-        server.broken(trouble.lasts_us + S)
+        server.record_outage(trouble.duration_us + S)
         server.crash()
-        self.loop.call_later(trouble.lasts_us, self.server_back, server)
+        self.loop.call_later(trouble.duration_us, self.restart_server, server)
 
-    def server_back(self, server):
+    def restart_server(self, server):
         if server.name in self.platform.servers:
-            server.come_back()
+            server.restart()
             server.since_ms = self.unix_ms()
-            self.platform.tell(server.row())
+            self.platform.publish(server.row())
 
     @staticmethod
     def unix_ms():
@@ -261,72 +264,73 @@
 
     def server_drain(self, trouble):
         server = self.server(trouble)
-        if self.enough(server.role):
+        if self.has_spare(server.role):
             server.status = "DRAINING"
-            self.platform.tell(server.row())
-            self.loop.call_later(trouble.lasts_us + 4 * S, self.serve_again, server)
+            self.platform.publish(server.row())
+            self.loop.call_later(trouble.duration_us + 4 * S, self.end_drain, server)
 
-    def serve_again(self, server):
+    def end_drain(self, server):
         if server.name in self.platform.servers and server.status == "DRAINING":
             server.status = "SERVING"
-            self.platform.tell(server.row())
+            self.platform.publish(server.row())
 
     def server_replaced(self, trouble):
         server = self.server(trouble)
-        if not self.enough(server.role):
+        if not self.has_spare(server.role):
             return
-        new = self.platform.add(server.role)
-        new.since_ms = self.unix_ms()
+        new_server = self.platform.add(server.role)
+        new_server.since_ms = self.unix_ms()
         del self.platform.servers[server.name]
         self.platform.retired.append(server)
-        self.platform.tell({**server.row(), "status": "DELETED"})
-        self.platform.tell(new.row())
-        self.loop.call_later(2 * S, self.end_server, server)
+        self.platform.publish({**server.row(), "status": "DELETED"})
+        self.platform.publish(new_server.row())
+        self.loop.call_later(2 * S, self.shut_down_server, server)
 
-    def end_server(self, server):
-        server.broken(60 * S)
+    def shut_down_server(self, server):
+        server.record_outage(60 * S)
         if not server.relay.listener.closed:
             server.crash()
 
-    def enough(self, role):
+    def has_spare(self, role):
+        """Whether another server of the role stays available if one is taken away."""
         return sum(s.role == role and s.status == "SERVING" for s in self.platform.servers.values()) > 1
 
     def link_hold(self, trouble):
         server = self.server(trouble)
         server.relay.hold = True
-        server.broken(trouble.lasts_us + 6 * S)
+        server.record_outage(trouble.duration_us + 6 * S)
         for state in [state for states in self.platform.held.values() for state in states]:
-            state.excused = True  # whoever is sent to a link that is held has not arrived, and nobody can tell
-        self.loop.call_later(trouble.lasts_us, self.release_link, server)
+            state.excused = True  # releases sent over the held link do not arrive, and the gateway can't know
+        self.loop.call_later(trouble.duration_us, self.end_link_hold, server)
 
     @staticmethod
-    def release_link(server):
+    def end_link_hold(server):
         server.relay.hold = False
-        server.relay.cut()  # what was on the way is lost
+        server.relay.cut()  # bytes in transit are lost
 
     def link_reset(self, trouble):
         server = self.server(trouble)
-        server.broken(trouble.lasts_us + S)
+        server.record_outage(trouble.duration_us + S)
         for i in range(4):
-            self.loop.call_later(trouble.lasts_us * i // 4, server.relay.cut)
+            self.loop.call_later(trouble.duration_us * i // 4, server.relay.cut)
 
     def link_deaf(self, trouble):
         server = self.server(trouble)
-        server.deafen()
-        self.loop.call_later(trouble.lasts_us, server.hear)
+        server.stop_accepting()
+        self.loop.call_later(trouble.duration_us, server.resume_accepting)
 
-    # ---- of discovery
+    # ---- troubles of discovery
 
     def discovery_silent(self, trouble):
-        self.all_agents("silent", trouble.lasts_us)
+        self.set_on_agents("silent", trouble.duration_us)
 
     def discovery_garbage(self, trouble):
-        self.all_agents("garbage", trouble.lasts_us)
+        self.set_on_agents("garbage", trouble.duration_us)
 
-    def all_agents(self, what, lasts_us):
+    def set_on_agents(self, fault, duration_us):
         for agent in self.platform.agents:
-            setattr(agent, what, True)
-            self.loop.call_later(lasts_us, setattr, agent, what, False)
+            setattr(agent, fault, True)
+            self.loop.call_later(duration_us, setattr, agent, fault, False)
 
     def watch_lost(self, trouble):
         for agent in self.platform.agents:
@@ -341,9 +345,9 @@
 
 
 def play(seed, seconds=16.0, gateways=10, folder=None):
-    """-> the Day."""
+    """Runs the day of `seed` and returns its records, a Day. Logs and configurations go to `folder`, or are deleted."""
     if folder is not None:
         os.makedirs(folder, exist_ok=True)
         return DayRunner(seed, seconds, gateways, folder).play()
-    with tempfile.TemporaryDirectory() as own:
-        return DayRunner(seed, seconds, gateways, own).play()
+    with tempfile.TemporaryDirectory() as temporary:
+        return DayRunner(seed, seconds, gateways, temporary).play()
--- a/lapiswing/lab/soak/site.py
+++ b/lapiswing/lab/soak/fleet_settings.py
@@ -1,14 +1,14 @@
-"""The settings of a soak's fleet, as the platform gives them to a gateway."""
+"""Configuration files of the soak's gateways, in the format in which the platform provides them."""
 
 import json
 
-CLASSES = {"chat": "retryable", "order": "dedup", "pay": "fragile"}
-WINDOW_MS = 1500.0
-GRACE_MS, LET_GO_MS, RAMP_MS = 1000.0, 500.0, 6000.0
+CLASS_EFFECTS = {"chat": "retryable", "order": "dedup", "pay": "fragile"}  # request class -> effect
+REPEAT_WINDOW_MS = 1500.0
+DRAIN_GRACE_MS, RELEASE_MS, SLOW_START_MS = 1000.0, 500.0, 6000.0
 
 
-def settings(number, gateways, second_copies, asked):
-    """`asked`: whether changes of the list come only to those who ask."""
+def settings(number, gateways, second_copies, subscribed):
+    """Settings of gateway `number`. `subscribed`: whether the gateway has to subscribe to receive server list updates."""
     classes = [
         {
             "Name": name,
@@ -17,11 +17,11 @@
             "DeadlineMs": 3000.0,
             "OnTimeMs": 1200.0,
             "LateWorth": 0.3,
-            "MemorySpanMs": WINDOW_MS,
+            "MemorySpanMs": REPEAT_WINDOW_MS,
             "Stream": True,
             "Value": 1.0,
         }
-        for name, effect in CLASSES.items()
+        for name, effect in CLASS_EFFECTS.items()
     ]
     return {
         "Az": number % 2,
@@ -34,7 +34,7 @@
             "DutyByKind": ["read", "write", "both"],
             "FarPrice": 0.04,
             "KindMemoryTokens": [264519, 156363, 200139],
-            "LetGoByMs": LET_GO_MS,
+            "LetGoByMs": RELEASE_MS,
             "MayReserve": True,
             "ReadInPlace": False,
             "Resume": False,
@@ -53,7 +53,7 @@
             "Probes": True,
         },
         "Me": number,
-        "MembershipMode": "subscribe" if asked else "automatic",
+        "MembershipMode": "subscribe" if subscribed else "automatic",
         "Penalties": {"CrossZone": 0.02},
         "Report": {"How": "inline", "Names": ["inflight", "queue", "x0", "x1"]},
         "ResolutionMs": 4.0,
@@ -63,15 +63,16 @@
             "ColdFrom": 0.25,
             "FallMultiple": 2.5,
             "OverloadForMs": 1000.0,
-            "RampTimeMs": RAMP_MS,
-            "StopSendingWithinMs": GRACE_MS,
+            "RampTimeMs": SLOW_START_MS,
+            "StopSendingWithinMs": DRAIN_GRACE_MS,
         },
         "Tenants": [],
         "Zones": ["a", "b"],
     }
 
 
-def configuration(number, gateways, port, discovery, seed, known, second_copies, asked, sockets):
+def configuration(number, gateways, port, discovery, seed, known, second_copies, subscribed, sockets):
+    """Text of the configuration file (RELAY_CONFIG) of gateway `number`."""
     return json.dumps(
         {
             "name": f"n{number}",
@@ -80,6 +81,6 @@
             "seed": f"{seed:x}",
             "known": known,
             "limits": {"cores": 0.5, "memory_mb": 128, "sockets": sockets},
-            "settings": settings(number, gateways, second_copies, asked),
+            "settings": settings(number, gateways, second_copies, subscribed),
         }
     )
--- a/lapiswing/lab/soak/oracle.py
+++ b/lapiswing/lab/soak/oracle.py
@@ -1,38 +1,42 @@
-"""Judges a Day by the standing rules. Pure: records in, violations out. Nothing a gateway says of itself counts, but for
-faults in its log."""
+"""Checks the records of a Day against the invariants (rules 1, 2, 3 and 5 below). Pure: records in, violations out. Of what a
+gateway says about itself only the faults in its log count."""
 
 from collections import defaultdict
 from itertools import pairwise
 from pathlib import Path
 from typing import NamedTuple
 
-from lapiswing.lab.soak import site
+from lapiswing.lab.soak import fleet_settings
 
-MS, S = 1000, 1_000_000
-SLACK_US = 50 * MS  # of every time limit on sockets
-LATE_US = 500 * MS  # past the deadline an answer only earns nothing; later it is lost
-GONE_US = 100 * MS  # after a client's close no attempt begins
-TOLD_SLACK_US = 150 * MS  # of the time that an attempt tells its server
+MS, S = 1000, 1_000_000  # in microseconds
+SLACK_US = 50 * MS  # tolerance of every time limit that is measured on sockets
+MAX_LATE_US = 500 * MS  # an answer up to this long past its deadline earns nothing; a later one is a violation
+MAX_SEND_AFTER_LEAVING_US = 100 * MS  # no attempt begins later than this after the client disconnected
+STATED_TIME_SLACK_US = 150 * MS  # tolerance of the time limit that an attempt states to its server
 HELD_SLACK_US = 300 * MS
-READY_US = 10 * S
-STARVED_LOOK_US = 100 * MS  # a look at a process's waits may come so much later
-DOOR_US = 400 * MS  # new connections come for so long after SIGTERM
-STREAM_END_US = 1 * S  # a stream's end is passed on within this
-EVENTS_LATE_US = 300 * MS
-DESCRIPTORS = 120  # of a process with nothing to do
+READY_LIMIT_US = 10 * S
+CPU_WAIT_SAMPLE_US = 100 * MS  # a CPU wait may be recorded this much later
+NEW_CONNECTIONS_AFTER_TERM_US = 400 * MS  # the platform sends new connections no longer than this after SIGTERM
+MAX_STREAM_END_DELAY_US = 1 * S  # within this the end of a stream is passed on
+MAX_EVENT_DELAY_US = 300 * MS
+MAX_IDLE_DESCRIPTORS = 120  # open descriptors of an idle process
 
 
 class Violation(NamedTuple):
+    """A broken rule, the call or process that it concerns, and the details."""
+
     rule: str
     where: str
     what: str
 
 
 class Oracle:
+    """The checks, with the records indexed by call and by gateway."""
+
     def __init__(self, day):
         self.day = day
-        # The observer's own delays fall on what it measures.
-        self.slack_us = SLACK_US + day.runner_late_us
+        # The observer's own delays add to everything that it measures.
+        self.slack_us = SLACK_US + day.observer_delay_us
         self.attempts = defaultdict(list)
         for attempt in day.attempts:
             self.attempts[attempt.rid].append(attempt)
@@ -41,85 +45,104 @@
             self.runs[run.gateway].append(run)
 
     def judge(self):
-        """-> all violations."""
+        """Returns all violations."""
         found = [
             Violation("unknown id", rid, f"at {attempts[0].server}")
             for rid, attempts in self.attempts.items()
             if rid not in self.day.calls
         ]
-        self.attempts = defaultdict(list, {rid: of for rid, of in self.attempts.items() if rid in self.day.calls})
+        self.attempts = defaultdict(list, {rid: attempts for rid, attempts in self.attempts.items() if rid in self.day.calls})
         for call in self.day.calls.values():
-            found += self.answered(call) + self.effects(call) + self.after_leaving(call) + self.told_time(call)
-        return found + self.drains() + self.held() + self.processes() + self.second_copies() + self.late_events()
+            found += (
+                self.check_answer(call) + self.check_effects(call) + self.check_client_left(call) + self.check_stated_time(call)
+            )
+        return (
+            found
+            + self.check_drains()
+            + self.check_held_states()
+            + self.check_processes()
+            + self.check_second_copies()
+            + self.check_event_delays()
+        )
 
     def run_of(self, call):
-        """The process that the call came to."""
+        """The process that received the call."""
         return max(
             (run for run in self.runs[call.gateway] if run.started_us <= call.sent_us),
             key=lambda run: run.started_us,
             default=None,
         )
 
-    def killed(self, call):
-        """Whether the process was ended from outside while the call was open, or crashed (told elsewhere)."""
+    def killed_during(self, call):
+        """Whether the gateway process was killed while the call was open. Crashes are reported by check_processes."""
         run = self.run_of(call)
-        end = call.end_us or call.left_us or 1 << 62
+        end = call.end_us or call.client_left_us or 1 << 62
         return run is None or run.killed_us is not None and run.killed_us <= end + self.slack_us
 
-    def answered(self, call):
-        """Rule 1: one final answer in time."""
-        if call.left_us is not None or self.killed(call) and call.finals == 0:
+    def check_answer(self, call):
+        """Rule 1: exactly one final answer, in time."""
+        if call.client_left_us is not None or self.killed_during(call) and call.final_answers == 0:
             return []
         took_ms = ((call.end_us or 0) - call.sent_us) // MS
-        tell = f"status {call.status} failed {call.failed} after {took_ms} ms of {call.deadline_us // MS}"
+        details = f"status {call.status} failed {call.failed} after {took_ms} ms of {call.deadline_us // MS}"
         run = self.run_of(call)
         if run is not None and run.term_us is not None:
-            tell += f", sent {(call.sent_us - run.term_us) // MS} ms after SIGTERM, {'kept' if call.kept else 'new'} connection"
+            details += (
+                f", sent {(call.sent_us - run.term_us) // MS} ms after SIGTERM, "
+                f"{'kept' if call.reused_connection else 'new'} connection"
+            )
         if call.failed in ("connect", "unsent", "away", "local"):
-            return []  # it was not taken
-        if call.finals > 1:
-            return [Violation("answered", call.rid, f"{call.finals} answers")]
+            return []  # the gateway did not accept it
+        if call.final_answers > 1:
+            return [Violation("answered", call.rid, f"{call.final_answers} answers")]
         if call.failed == "body":
             return (
-                [] if self.stream_broke(call) else [Violation("cut", call.rid, f"a stream that its server went on with; {tell}")]
+                []
+                if self.stream_broke(call)
+                else [Violation("cut", call.rid, f"the stream was cut although its server continued it; {details}")]
             )
-        if call.finals == 0:
-            return [] if self.past_the_door(call, run) else [Violation("lost", call.rid, tell)]
+        if call.final_answers == 0:
+            return [] if self.sent_too_late(call, run) else [Violation("lost", call.rid, details)]
         if call.status == 200:
-            return self.stream(call)
-        if call.end_us > call.sent_us + call.deadline_us + LATE_US + self.slack_us:
-            return [Violation("late", call.rid, tell)]
+            return self.check_stream(call)
+        if call.end_us > call.sent_us + call.deadline_us + MAX_LATE_US + self.slack_us:
+            return [Violation("late", call.rid, details)]
         return []
 
     @staticmethod
-    def past_the_door(call, run):
-        """Whether an observer that was late itself sent it on a new connection after those that the platform sends."""
-        return not call.kept and run is not None and run.term_us is not None and call.sent_us > run.term_us + DOOR_US
+    def sent_too_late(call, run):
+        """Whether a delayed observer opened its connection later than the platform would have."""
+        return (
+            not call.reused_connection
+            and run is not None
+            and run.term_us is not None
+            and call.sent_us > run.term_us + NEW_CONNECTIONS_AFTER_TERM_US
+        )
 
     def stream_broke(self, call):
-        """Whether some server's stream for it ended early or stood still."""
+        """Whether a server's stream for the call ended early or stalled."""
         for attempt in self.attempts[call.rid]:
-            if attempt.sent and attempt.whole_us is None:
+            if attempt.sent and attempt.completed_us is None:
                 return True
-            if any(a <= (call.end_us or 0) <= b + S for a, b in self.day.broken_us.get(attempt.server, ())):
+            if any(a <= (call.end_us or 0) <= b + S for a, b in self.day.outages_us.get(attempt.server, ())):
                 return True
         return False
 
-    def stream(self, call):
-        """A whole answer is one server's stream, unchanged, passed on as it came."""
-        if call.head_us > call.sent_us + call.deadline_us + LATE_US + self.slack_us:
+    def check_stream(self, call):
+        """A successful answer is exactly one server's stream, passed on without delay."""
+        if call.head_us > call.sent_us + call.deadline_us + MAX_LATE_US + self.slack_us:
             return [Violation("late", call.rid, "its stream began too late")]
         match = next((a for a in self.attempts[call.rid] if bytes(a.sent) == bytes(call.body)), None)
         if match is None:
             return [Violation("changed", call.rid, f"{len(call.body)} bytes that no server wrote for it")]
-        if match.whole_us is None:
-            return [Violation("changed", call.rid, "told as whole, and its server had not ended it")]
-        if call.end_us - match.whole_us > STREAM_END_US + self.slack_us:
-            return [Violation("held up", call.rid, f"its end came {(call.end_us - match.whole_us) // MS} ms late")]
+        if match.completed_us is None:
+            return [Violation("changed", call.rid, "the gateway ended it as complete before its server did")]
+        if call.end_us - match.completed_us > MAX_STREAM_END_DELAY_US + self.slack_us:
+            return [Violation("held up", call.rid, f"its end came {(call.end_us - match.completed_us) // MS} ms late")]
         return []
 
-    def effects(self, call):
-        """Rule 2: no effect twice, and no refusal of what may have run."""
+    def check_effects(self, call):
+        """Rule 2: no effect twice, and no rejection of a call that may have taken effect."""
         ran = [a for a in self.attempts[call.rid] if a.ran]
         found = []
         if call.effect == "fragile":
@@ -128,7 +151,7 @@
             if ran and call.status in (429, 503):
                 found.append(Violation("refused", call.rid, f"{call.status} after it may have run at {ran[0].server}"))
         if call.effect == "dedup" and ran:
-            last_us = ran[0].at_us + round(site.WINDOW_MS * MS) + self.slack_us
+            last_us = ran[0].at_us + round(fleet_settings.REPEAT_WINDOW_MS * MS) + self.slack_us
             for attempt in ran[1:]:
                 if attempt.at_us > last_us:
                     found.append(
@@ -136,148 +159,161 @@
                     )
         return found
 
-    def after_leaving(self, call):
-        if call.left_us is None:
+    def check_client_left(self, call):
+        """No attempt begins after the client has disconnected."""
+        if call.client_left_us is None:
             return []
-        late = [a for a in self.attempts[call.rid] if a.at_us > call.left_us + GONE_US + self.slack_us]
+        late = [a for a in self.attempts[call.rid] if a.at_us > call.client_left_us + MAX_SEND_AFTER_LEAVING_US + self.slack_us]
         return [
-            Violation("gone", call.rid, f"{(a.at_us - call.left_us) // MS} ms after its client left, at {a.server}") for a in late
+            Violation("gone", call.rid, f"{(a.at_us - call.client_left_us) // MS} ms after its client left, at {a.server}")
+            for a in late
         ]
 
-    def told_time(self, call):
+    def check_stated_time(self, call):
+        """An attempt states no more time to its server than its client has left."""
         found = []
         for attempt in self.attempts[call.rid]:
-            over_us = attempt.told_left_us - (call.sent_us + call.deadline_us - attempt.at_us)
-            if over_us > TOLD_SLACK_US + self.slack_us + self.starved_us(call, attempt.at_us):
+            over_us = attempt.stated_time_left_us - (call.sent_us + call.deadline_us - attempt.at_us)
+            if over_us > STATED_TIME_SLACK_US + self.slack_us + self.cpu_wait_during_us(call, attempt.at_us):
                 found.append(Violation("told time", call.rid, f"{over_us // MS} ms more than its client has"))
         return found
 
-    def starved_us(self, call, until_us):
-        """Time that the call's gateway had no processor, from just before it was sent until then."""
+    def cpu_wait_during_us(self, call, until_us):
+        """How long the call's gateway waited for a CPU from the send of the call until then."""
         return sum(
             us
-            for gateway, at_us, us in self.day.starved
-            if gateway == call.gateway and call.sent_us <= at_us <= until_us + STARVED_LOOK_US
+            for gateway, at_us, us in self.day.cpu_waits
+            if gateway == call.gateway and call.sent_us <= at_us <= until_us + CPU_WAIT_SAMPLE_US
         )
 
-    def second_copies(self):
-        """No two attempts of a call at once, where those are off: as the settings of its gateway have it."""
+    def check_second_copies(self):
+        """No two attempts of a call at the same time where the settings of its gateway forbid second copies."""
         found = []
         for rid, attempts in self.attempts.items():
-            if not self.day.copies_off(self.day.calls[rid].gateway):
+            if not self.day.second_copies_off(self.day.calls[rid].gateway):
                 continue
             ordered = sorted(attempts, key=lambda a: a.at_us)
             for one, other in pairwise(ordered):
                 end_us = one.end_us or 1 << 62
-                if end_us > other.at_us + self.slack_us and not self.out_of_reach(one):
+                if end_us > other.at_us + self.slack_us and not self.in_outage(one):
                     found.append(Violation("second copy", rid, f"{one.server} and {other.server}"))
         return found
 
-    def out_of_reach(self, attempt):
-        """Whether its server may not have seen that its gateway gave it up."""
+    def in_outage(self, attempt):
+        """Whether its server may not have noticed that the gateway cancelled it."""
         return any(
-            a <= (attempt.end_us or 1 << 62) and attempt.at_us <= b + S for a, b in self.day.broken_us.get(attempt.server, ())
+            a <= (attempt.end_us or 1 << 62) and attempt.at_us <= b + S for a, b in self.day.outages_us.get(attempt.server, ())
         )
 
-    def late_events(self):
-        """Events are passed on as they come, for all but one stream in 20."""
+    def check_event_delays(self):
+        """Events are passed on without delay, except in at most one stream in 20."""
         streams = late = 0
         for call in self.day.calls.values():
-            match = next((a for a in self.attempts[call.rid] if a.whole_us and bytes(a.sent) == bytes(call.body)), None)
-            if match is None or call.sips:
+            match = next((a for a in self.attempts[call.rid] if a.completed_us and bytes(a.sent) == bytes(call.body)), None)
+            if match is None or call.reads_slowly:
                 continue
             streams += 1
-            late += self.worst_lag(call, match) > EVENTS_LATE_US + self.slack_us
+            late += self.max_delay_us(call, match) > MAX_EVENT_DELAY_US + self.slack_us
         return [Violation("events", f"seed {self.day.seed}", f"{late} of {streams} streams")] if late * 20 > streams else []
 
     @staticmethod
-    def worst_lag(call, attempt):
-        """The longest time that some bytes of the stream were under way."""
-        worst, arrivals = 0, iter(call.arrivals)
-        at, size = next(arrivals, (0, 0))
-        for written_us, end in attempt.events_us:
+    def max_delay_us(call, attempt):
+        """The longest time between writing bytes of the stream and their arrival at the client."""
+        longest_us, arrivals = 0, iter(call.arrivals)
+        arrived_us, size = next(arrivals, (0, 0))
+        for written_us, end in attempt.event_ends:
             while size < end:
-                at, size = next(arrivals)
-            worst = max(worst, at - written_us)
-        return worst
-
-    def drains(self):
-        """Rule 3: nothing new past the grace to a server that drains or is gone, from the moment its gateway was told."""
-        told, found = defaultdict(list), []
-        for row in self.day.told:
-            told[row.gateway, row.server].append(row.at_us)
+                arrived_us, size = next(arrivals)
+            longest_us = max(longest_us, arrived_us - written_us)
+        return longest_us
+
+    def check_drains(self):
+        """Rule 3: no new attempt to a draining or deleted server after the grace period since its gateway was informed."""
+        reported, found = defaultdict(list), []
+        for row in self.day.unavailable_reports:
+            reported[row.gateway, row.server].append(row.at_us)
         for rid, attempts in self.attempts.items():
             call = self.day.calls.get(rid)
             for attempt in attempts:
-                times = [at for at in told.get((call.gateway, attempt.server), ()) if at <= attempt.at_us]
-                back = self.day.back.get(attempt.server, 0)
-                if not times or back > times[-1]:
+                times = [at for at in reported.get((call.gateway, attempt.server), ()) if at <= attempt.at_us]
+                ready_again_us = self.day.ready_again_us.get(attempt.server, 0)
+                if not times or ready_again_us > times[-1]:
                     continue
-                first = min(at for at in times if at > back)
-                over_us = attempt.at_us - first - round(site.GRACE_MS * MS)
+                first_us = min(at for at in times if at > ready_again_us)
+                over_us = attempt.at_us - first_us - round(fleet_settings.DRAIN_GRACE_MS * MS)
                 if over_us > self.slack_us:
-                    found.append(Violation("drain", rid, f"{over_us // MS} ms past the grace at {attempt.server}"))
+                    found.append(Violation("drain", rid, f"{over_us // MS} ms past the grace period at {attempt.server}"))
         return found
 
-    def held(self):
-        """Rule 5: a state with no attempt out is used or released in time."""
+    def check_held_states(self):
+        """Rule 5: a held state without an attempt in progress is fetched or released in time."""
         found = []
         for state in self.day.states:
             call = self.day.calls.get(state.rid)
-            if state.excused or call is None or self.killed_holding(call, state) or self.could_not_say(call, state):
+            if state.excused or call is None or self.killed_while_held(call, state) or self.could_not_release(call, state):
                 continue
             end_us = state.end_us if state.end_us is not None else state.from_us + 3600 * S
-            free_us = state.from_us
+            idle_since_us = state.from_us
             for attempt in sorted(self.attempts[state.rid], key=lambda a: a.at_us):
                 if attempt.at_us <= state.from_us:
-                    free_us = max(free_us, attempt.end_us or state.from_us)
+                    idle_since_us = max(idle_since_us, attempt.end_us or state.from_us)
                 elif attempt.at_us <= end_us:
-                    if attempt.at_us - free_us > self.hold_limit_us():
+                    if attempt.at_us - idle_since_us > self.hold_limit_us():
                         break
-                    free_us = max(free_us, attempt.end_us or end_us)
-            over_us = end_us - free_us - self.hold_limit_us()
+                    idle_since_us = max(idle_since_us, attempt.end_us or end_us)
+            over_us = end_us - idle_since_us - self.hold_limit_us()
             if over_us > 0:
                 found.append(Violation("held", state.rid, f"at {state.server}, {over_us // MS} ms too long"))
         return found
 
-    def could_not_say(self, call, state):
-        """Whether its gateway could open no connection to release it, for part of the time. What is never released counts."""
+    def could_not_release(self, call, state):
+        """Whether connects of its gateway may have failed while it was held. Does not excuse a state that is never released."""
         return state.end_us is not None and any(
             gateway == call.gateway and start_us <= state.end_us and state.from_us <= end_us
-            for gateway, start_us, end_us in self.day.cut_off
+            for gateway, start_us, end_us in self.day.connect_failures
         )
 
     def hold_limit_us(self):
-        return round(site.LET_GO_MS * MS) + HELD_SLACK_US + self.slack_us
+        return round(fleet_settings.RELEASE_MS * MS) + HELD_SLACK_US + self.slack_us
 
-    def killed_holding(self, call, state):
-        """Whether the process that had it read was killed meanwhile; a client may have sent the call to the next one too."""
-        end_us, first_us = state.end_us or 1 << 62, call.first_us or call.sent_us
+    def killed_while_held(self, call, state):
+        """Whether the process that requested the prefill was killed meanwhile. The client may have sent the call again to the
+        next process."""
+        end_us, first_us = state.end_us or 1 << 62, call.first_sent_us or call.sent_us
         return any(
             run.killed_us is not None and run.started_us <= call.sent_us and first_us <= run.killed_us <= end_us
             for run in self.runs[call.gateway]
         )
 
-    def processes(self):
+    def check_processes(self):
+        """Processes become ready, don't crash, don't leak descriptors and log no faults."""
         found = []
         for run in self.day.processes:
             where = f"gateway {run.gateway}, pid {run.pid}"
-            asked = run.term_us is not None or run.killed_us is not None
-            if run.ended_us is not None and not asked:
-                found.append(Violation("crash", where, f"ended by itself with {run.code}"))
-            elif run.term_us is not None and run.killed_us is None and run.ready_us is not None and run.code not in (0, None):
-                found.append(Violation("crash", where, f"ended with {run.code} after SIGTERM"))
-            if run.ready_us is None and not asked or run.ready_us is not None and run.ready_us - run.started_us > READY_US:
+            end_requested = run.term_us is not None or run.killed_us is not None
+            if run.ended_us is not None and not end_requested:
+                found.append(Violation("crash", where, f"ended by itself with {run.exit_code}"))
+            elif (
+                run.term_us is not None and run.killed_us is None and run.ready_us is not None and run.exit_code not in (0, None)
+            ):
+                found.append(Violation("crash", where, f"ended with {run.exit_code} after SIGTERM"))
+            if (
+                run.ready_us is None
+                and not end_requested
+                or run.ready_us is not None
+                and run.ready_us - run.started_us > READY_LIMIT_US
+            ):
                 found.append(Violation("not ready", where, "within 10 s"))
-            if any(count > DESCRIPTORS for count in run.descriptors):
+            if any(count > MAX_IDLE_DESCRIPTORS for count in run.descriptors):
                 found.append(Violation("descriptors", where, f"{run.descriptors} at rest"))
             found += [Violation("fault", where, line[:200]) for line in self.faults(run)]
         return found
 
     @staticmethod
     def faults(run):
+        """The first log records of the process that report a fault."""
         try:
-            lines = Path(run.log).read_text(errors="replace").splitlines()
+            lines = Path(run.log_path).read_text(errors="replace").splitlines()
         except OSError:
             return []
         return [
@@ -292,4 +328,5 @@
 
 
 def judge(day):
+    """Returns the violations of a day."""
     return Oracle(day).judge()
--- a/lapiswing/lab/soak/process.py
+++ b/lapiswing/lab/soak/process.py
@@ -1,4 +1,4 @@
-"""A gateway as a real process: started as deployed, but for the shim in front of it."""
+"""A gateway as a real process, started as in the deployment except that the fault-injecting shim runs it."""
 
 import json
 import os
@@ -8,106 +8,115 @@
 from pathlib import Path
 
 from lapiswing.http1 import Pool
-from lapiswing.lab.soak import site
+from lapiswing.lab.soak import fleet_settings
 from lapiswing.lab.soak.records import Process
 from lapiswing.lab.status import StatusOnly
 
-MS, S = 1000, 1_000_000
-KILL_US = 3700 * MS  # from SIGTERM to SIGKILL
-LOOK_US = 20 * MS
-SOCKETS = 256
+MS, S = 1000, 1_000_000  # in microseconds
+TERM_TO_KILL_US = 3700 * MS  # the platform sends SIGKILL this long after SIGTERM
+READY_POLL_US = 20 * MS
+SOCKET_LIMIT = 256
 
 
 class GatewayProcess:
-    def __init__(self, loop, day, number, count, port, agent, folder, seed):
-        self.loop, self.day, self.number, self.count, self.agent = loop, day, number, count, agent
+    """One gateway of the soak over all its restarts. `run` is the record of the current process, `program` its handle."""
+
+    def __init__(self, loop, day, number, gateway_count, port, agent, folder, seed):
+        self.loop, self.day, self.number, self.gateway_count, self.agent = loop, day, number, gateway_count, agent
         self.address, self.folder, self.seed = ("127.0.0.1", port), Path(folder), seed
         self.second_copies = day.second_copies[number] = seed % 2 == 0
-        self.asked = day.seed % 4 == 0
+        self.subscribed = day.seed % 4 == 0
         self.run = self.program = None
-        self.runs, self.clock_s, self.faults = 0, 0, []
+        self.start_count, self.clock_s, self.faults = 0, 0, []
         self.pool = Pool(loop, 4, 1)
-        self.reader, self.readers = None, []  # of the log, by run
-        self.config = self.folder / f"n{number}.json"
-        self.shim = self.folder / f"n{number}.shim"
+        self.log_reader, self.log_readers = None, []  # `cat` processes, one for each start
+        self.config_file = self.folder / f"n{number}.json"
+        self.shim_file = self.folder / f"n{number}.shim"
 
-    def write_config(self, whole=True):
-        text = site.configuration(
+    def write_config(self, complete=True):
+        """Writes the configuration; with `complete=False` only its first third."""
+        text = fleet_settings.configuration(
             self.number,
-            self.count,
+            self.gateway_count,
             self.address[1],
             self.agent.address,
-            self.seed + self.runs,
+            self.seed + self.start_count,
             self.agent.whole(),
             self.second_copies,
-            self.asked,
-            SOCKETS,
+            self.subscribed,
+            SOCKET_LIMIT,
         )
-        self.config.write_text(text if whole else text[: len(text) // 3])
+        self.config_file.write_text(text if complete else text[: len(text) // 3])
 
     def write_shim(self):
-        self.shim.write_text(json.dumps({"clock_s": self.clock_s, "faults": self.faults}))
+        self.shim_file.write_text(json.dumps({"clock_s": self.clock_s, "faults": self.faults}))
 
     def start(self):
-        self.runs += 1
+        self.start_count += 1
         self.write_config()
         self.write_shim()
-        log = self.folder / f"n{self.number}.{self.runs}.log"
+        log = self.folder / f"n{self.number}.{self.start_count}.log"
         with open(log, "w") as out:
-            self.reader = subprocess.Popen(["cat"], stdin=subprocess.PIPE, stdout=out)  # the log goes through a pipe
-            self.readers.append(self.reader)
+            self.log_reader = subprocess.Popen(["cat"], stdin=subprocess.PIPE, stdout=out)  # a pipe, so that it can be stopped
+            self.log_readers.append(self.log_reader)
             self.program = subprocess.Popen(
                 ["/bin/sh", "-c", f"trap '' HUP; exec {sys.executable} -m lapiswing.lab.soak.shim"],
-                stderr=self.reader.stdin,
+                stderr=self.log_reader.stdin,
                 stdout=out,
-                env={**os.environ, "RELAY_CONFIG": str(self.config), "SOAK_SHIM": str(self.shim), "OPENBLAS_NUM_THREADS": "1"},
+                env={
+                    **os.environ,
+                    "RELAY_CONFIG": str(self.config_file),
+                    "SOAK_SHIM": str(self.shim_file),
+                    "OPENBLAS_NUM_THREADS": "1",
+                },
             )
-            self.reader.stdin.close()
-        self.run = Process(self.number, self.program.pid, self.loop.clock.now_us(), log=str(log))
+            self.log_reader.stdin.close()
+        self.run = Process(self.number, self.program.pid, self.loop.clock.now_us(), log_path=str(log))
         self.day.processes.append(self.run)
-        self.look(self.run)
+        self.poll_state(self.run)
 
-    def look(self, run):
-        """Asks whether it is ready, until it is or has ended."""
+    def poll_state(self, run):
+        """Polls until the process is ready, and then for its exit."""
         if run is not self.run:
             return
         code = self.program.poll()
         if code is not None:
             if run.ended_us is None:
-                run.ended_us, run.code = self.loop.clock.now_us(), code
+                run.ended_us, run.exit_code = self.loop.clock.now_us(), code
             return
         if run.ready_us is None:
-            asked = StatusOnly()
-            self.pool.request(self.address, b"GET", b"/-/ready", [], b"", asked, fresh=True)
-            self.loop.call_later(LOOK_US, self.heard, run, asked)
+            response = StatusOnly()
+            self.pool.request(self.address, b"GET", b"/-/ready", [], b"", response, fresh=True)
+            self.loop.call_later(READY_POLL_US, self.on_ready_response, run, response)
         else:
-            self.loop.call_later(5 * LOOK_US, self.look, run)
+            self.loop.call_later(5 * READY_POLL_US, self.poll_state, run)
 
-    def heard(self, run, asked):
-        if asked.status == 200 and run.ready_us is None:
+    def on_ready_response(self, run, response):
+        if response.status == 200 and run.ready_us is None:
             run.ready_us = self.loop.clock.now_us()
-        self.look(run)
+        self.poll_state(run)
 
     def alive(self):
         return self.program is not None and self.program.poll() is None
 
-    def send(self, number):
+    def signal_process(self, signal_number):
         if self.alive():
-            os.kill(self.program.pid, number)
+            os.kill(self.program.pid, signal_number)
 
-    def program_runs(self):
-        """Whether it is the program by now, and not the shell before it."""
+    def program_started(self):
+        """Whether the shell that starts it has already executed the gateway."""
         try:
             return b"lapiswing.lab.soak.shim" in Path(f"/proc/{self.program.pid}/cmdline").read_bytes().split(b"\0")
         except OSError:
             return False
 
     def term(self, then=None):
+        """Sends SIGTERM, and SIGKILL after TERM_TO_KILL_US; then calls `then`."""
         run = self.run
         if run.term_us is None and self.alive():
             run.term_us = self.loop.clock.now_us()
-            self.send(signal.SIGTERM)
-            self.loop.call_later(KILL_US, self.kill, run, then)
+            self.signal_process(signal.SIGTERM)
+            self.loop.call_later(TERM_TO_KILL_US, self.kill, run, then)
         elif then is not None:
             then()
 
@@ -119,44 +128,46 @@
                 self.program.kill()
             code = self.program.wait()
             if run.ended_us is None:
-                run.ended_us, run.code = self.loop.clock.now_us(), code
+                run.ended_us, run.exit_code = self.loop.clock.now_us(), code
         if then is not None:
             then()
 
-    def reload(self, whole=True):
-        """Tells the program, never the shell before it, which has the signal's default action."""
-        self.write_config(whole)
-        if self.alive() and self.program_runs():
-            self.send(signal.SIGHUP)
+    def reload(self, complete=True):
+        """Writes the configuration and sends SIGHUP, never to the shell that starts the gateway: SIGHUP might end it."""
+        self.write_config(complete)
+        if self.alive() and self.program_started():
+            self.signal_process(signal.SIGHUP)
 
     def descriptors(self):
+        """Number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.program.pid}/fd"))
 
-    def waited_us(self):
-        """Time that its process has spent ready to run, without a processor (proc(5), schedstat)."""
+    def cpu_wait_us(self):
+        """Total time that its process was ready to run but waited for a CPU (proc(5), schedstat)."""
         try:
             return int(Path(f"/proc/{self.program.pid}/schedstat").read_text().split()[1]) // 1000
         except (OSError, IndexError, ValueError):
             return 0
 
-    def processor_s(self):
+    def cpu_time_s(self):
+        """CPU time used so far, user and system."""
         fields = Path(f"/proc/{self.program.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
-    def stop_reading_log(self, lasts_us):
-        """Its reader stands still; for good where no time is given."""
-        reader = self.reader
-        if not lasts_us:
+    def stop_reading_log(self, duration_us):
+        """Stops the process that reads the log, or ends it if no time is given."""
+        reader = self.log_reader
+        if not duration_us:
             return reader.kill()
         reader.send_signal(signal.SIGSTOP)
-        self.loop.call_later(lasts_us, reader.send_signal, signal.SIGCONT)
+        self.loop.call_later(duration_us, reader.send_signal, signal.SIGCONT)
 
     def close(self):
         self.pool.close()
         if self.alive():
             self.program.kill()
             self.program.wait()
-        for reader in self.readers:
+        for reader in self.log_readers:
             if reader.poll() is None:
                 reader.send_signal(signal.SIGCONT)
-            reader.wait()  # it has come to the end of its pipe
+            reader.wait()  # ends at the end of its pipe
--- a/lapiswing/lab/soak/records.py
+++ b/lapiswing/lab/soak/records.py
@@ -1,63 +1,64 @@
-"""What clients, model servers and agents saw of a day: typed rows, no judgement. Times in us of one monotonic clock."""
+"""Records of what clients, model servers and discovery agents observed during a day, without any judgement. All times are
+microseconds of one monotonic clock."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(eq=False)
 class Attempt:
-    """One request for a client's call as a model server got it, its last byte included."""
+    """One request that a model server received for a client's call, recorded once it has arrived completely."""
 
     rid: str
     server: str
     role: str
     at_us: int
-    told_left_us: int  # what the gateway said it would wait
-    ran: bool = False  # it may have had its effect
+    stated_time_left_us: int  # time limit that the gateway stated in the request
+    ran: bool = False  # it may have taken effect
     end_us: int | None = None
-    sent: bytearray = field(default_factory=bytearray)  # of a stream
-    whole_us: int | None = None  # when its stream was written to its end
-    events_us: list = field(default_factory=list)  # (when written, bytes of the stream by then)
+    sent: bytearray = field(default_factory=bytearray)  # bytes of the answer stream written so far
+    completed_us: int | None = None  # when the last byte of the stream was written
+    event_ends: list = field(default_factory=list)  # (time written, length of the stream by then)
 
 
 @dataclass(eq=False)
 class State:
-    """What a prefill server holds for a call."""
+    """The KV state that a prefill server holds for a call."""
 
     rid: str
     server: str
     from_us: int
     end_us: int | None = None
-    excused: bool = False  # its server died, or was out of reach
+    excused: bool = False  # its server crashed or was unreachable
 
 
 @dataclass(eq=False)
 class Call:
-    """One request of a client, sent once (or once more, where the end of a kept connection crossed it)."""
+    """One request of a client. It is sent a second time only if its reused connection was closed while it was being sent."""
 
     rid: str
     gateway: int
     effect: str
-    deadline_us: int  # span
+    deadline_us: int  # time limit from sent_us
     sent_us: int
-    kept: bool = False  # sent on a connection that had served before
-    left_us: int | None = None  # its client closed
+    reused_connection: bool = False  # sent on an idle keep-alive connection
+    client_left_us: int | None = None  # when the client closed the connection
     status: int | None = None
     head_us: int | None = None
     end_us: int | None = None
-    failed: str | None = None  # the stage at which its connection ended
+    failed: str | None = None  # stage of the exchange at which it failed
     body: bytearray = field(default_factory=bytearray)
-    finals: int = 0
-    sips: bool = False  # it takes its answer slowly
-    arrivals: list = field(default_factory=list)  # (when, bytes of the answer by then)
+    final_answers: int = 0
+    reads_slowly: bool = False  # the client pauses before it reads the body
+    arrivals: list = field(default_factory=list)  # (time, length of the body by then)
     last_bytes_us: int | None = None
-    first_us: int | None = None  # when it was sent first
-    listener: object = None  # hears the answer
-    again: tuple = ()  # where and how it was sent
+    first_sent_us: int | None = None  # time of the first send, if it was sent twice
+    answer_listener: object = None  # the AnswerListener of its exchange
+    resend_target: tuple = ()  # (gateway, class name)
 
 
 @dataclass(eq=False)
 class Process:
-    """One run of a gateway."""
+    """One process of a gateway."""
 
     gateway: int
     pid: int
@@ -66,15 +67,15 @@
     term_us: int | None = None
     killed_us: int | None = None
     ended_us: int | None = None
-    code: int | None = None
-    log: str = ""
+    exit_code: int | None = None
+    log_path: str = ""
     cpu_s: float = 0.0
     descriptors: list = field(default_factory=list)
 
 
 @dataclass(eq=False)
-class Told:
-    """A server's row that says draining or gone, as an agent wrote it to its gateway."""
+class UnavailableReport:
+    """A discovery row that marks a server as draining or deleted, as an agent sent it to its gateway."""
 
     gateway: int
     server: str
@@ -83,20 +84,24 @@
 
 @dataclass(eq=False)
 class Day:
+    """All records of one run of the soak."""
+
     seed: int
     calls: dict = field(default_factory=dict)  # rid -> Call
     attempts: list = field(default_factory=list)
     states: list = field(default_factory=list)
     processes: list = field(default_factory=list)
-    told: list = field(default_factory=list)
-    changed: dict = field(default_factory=dict)  # server -> when the list first said that it drains or is gone
-    back: dict = field(default_factory=dict)  # server -> when it was listed as ready again
-    broken_us: dict = field(default_factory=dict)  # server -> [(from, to)] in which its streams may end early
+    unavailable_reports: list = field(default_factory=list)
+    unavailable_us: dict = field(default_factory=dict)  # server -> when discovery last listed it as draining or deleted
+    ready_again_us: dict = field(default_factory=dict)  # server -> when discovery last listed it as ready again
+    outages_us: dict = field(default_factory=dict)  # server -> [(from, to)] in which its streams may end early
     troubles: list = field(default_factory=list)
-    cut_off: list = field(default_factory=list)  # (gateway, from, to) in which it may not be able to open connections
-    starved: list = field(default_factory=list)  # (gateway, when, us that its process waited for a processor before that)
-    second_copies: dict = field(default_factory=dict)  # by gateway, whether its settings allow them
-    runner_late_us: int = 0  # the longest turn of the observer itself: its own slack
-
-    def copies_off(self, gateway):
+    connect_failures: list = field(default_factory=list)  # (gateway, from, to) in which its connect calls may fail
+    cpu_waits: list = field(
+        default_factory=list
+    )  # (gateway, time, us that its process waited for a CPU since the previous sample)
+    second_copies: dict = field(default_factory=dict)  # gateway -> whether its settings allow them
+    observer_delay_us: int = 0  # longest iteration of the observer's own loop; added to the tolerances
+
+    def second_copies_off(self, gateway):
         return not self.second_copies.get(gateway, True)
--- a/lapiswing/lab/soak/shim.py
+++ b/lapiswing/lab/soak/shim.py
@@ -1,8 +1,10 @@
-"""python -m lapiswing.lab.soak.shim: one gateway of the platform whose clock and system calls may be made to fail.
+"""`python -m lapiswing.lab.soak.shim` runs one gateway (`lapiswing.node`) with fault injection for its wall clock and socket
+calls.
 
-The environment's SOAK_SHIM is a JSON file: {"clock_s": 3600, "faults": [{"call": "accept", "code": 105, "from_us": ...,
-"to_us": ..., "part": 0.5}]}, moments of the monotonic clock, which all processes of a machine share. Read again at each
-SIGUSR2, so that faults may be told to a running process."""
+The environment variable SOAK_SHIM names a JSON file: {"clock_s": 3600, "faults": [{"call": "accept", "code": 105,
+"from_us": ..., "to_us": ..., "part": 0.5}]}. `clock_s` is added to the wall clock; `part` is the probability that the call
+fails between the two times, which are on the monotonic clock that all processes of a machine share. The file is read again
+at each SIGUSR2, so that faults can be added to a running process."""
 
 import json
 import os
@@ -16,24 +18,26 @@
 
 
 class Shim:
+    """The injected faults and clock offset, as last read from the file."""
+
     def __init__(self, path):
-        self.path, self.faults, self.chance = path, [], random.Random(path)
+        self.path, self.faults, self.rng = path, [], random.Random(path)
         self.load()
 
     def load(self, *_signal):
         try:
             with open(self.path) as file:
-                told = json.load(file)
+                content = json.load(file)
         except (OSError, ValueError):
             return
-        self.faults = told.get("faults", [])
-        self.clock_ns = int(told.get("clock_s", 0) * 1e9)
+        self.faults = content.get("faults", [])
+        self.clock_ns = int(content.get("clock_s", 0) * 1e9)
 
     def error(self, call):
-        """-> the errno that this call fails with now, or None."""
+        """Returns the errno with which this call is to fail now, or None."""
         now_us = time.monotonic_ns() // 1000
         for fault in self.faults:
-            if fault["call"] == call and fault["from_us"] <= now_us < fault["to_us"] and self.chance.random() < fault["part"]:
+            if fault["call"] == call and fault["from_us"] <= now_us < fault["to_us"] and self.rng.random() < fault["part"]:
                 return fault["code"]
         return None
 
@@ -43,10 +47,10 @@
         time.time = lambda: unix() + self.clock_ns / 1e9
 
     def wrap_sockets(self):
-        shim, real = self, socket.socket
+        shim, real_socket = self, socket.socket
 
-        class FailingSocket(real):
-            """Named calls fail as the file says; a short write is a `send` with code 0."""
+        class FailingSocket(real_socket):
+            """Fails the named calls as the file says. Code 0 for `send` makes it a short write."""
 
             def connect_ex(self, address):
                 return shim.error("connect_ex") or super().connect_ex(address)
@@ -65,14 +69,14 @@
                 code = shim.error(call)
                 if code:
                     raise OSError(code, os.strerror(code))
-                return getattr(real, call)(self, *args)
+                return getattr(real_socket, call)(self, *args)
 
             setattr(FailingSocket, call, failing)
         socket.socket = FailingSocket
 
 
 def main():
-    # As the deploy file has it, a SIGHUP is ignored until the program hears it; SIGUSR2 is this module's own.
+    # SIGHUP stays ignored until the gateway installs its handler, as in the deployment; SIGUSR2 is used by this module only.
     shim = Shim(os.environ[FILE])
     signal.signal(signal.SIGUSR2, shim.load)
     shim.step_clock()
--- a/lapiswing/lab/soak/troubles.py
+++ b/lapiswing/lab/soak/troubles.py
@@ -1,16 +1,16 @@
-"""Which troubles a day has, and when: drawn from the seed. Pure."""
+"""Draws the faults ("troubles") of a day and their times from the seed. Pure functions."""
 
 from enum import Enum
 from random import Random
 from typing import NamedTuple
 
-S = 1_000_000
-SHARED = 0.6  # part of the troubles of a burst that strike at the same place
-FIRST_S = 2.0  # the fleet is left in peace for so long
+S = 1_000_000  # microseconds per second
+SAME_TARGET_SHARE = 0.6  # share of the troubles of a burst that have the same target
+FIRST_TROUBLE_S = 2.0  # start of the first burst
 
 
 class Kind(Enum):
-    """What goes wrong."""
+    """Kinds of trouble. The lower-case name of a kind is the name of the DayRunner method that applies it."""
 
     STOP = "a gateway is told to end (SIGTERM), killed 3.7 s later, and started anew"
     STOP_MANY = "a third of the gateways are told to end within half a second, killed 3.7 s later, and started anew"
@@ -37,28 +37,30 @@
 
 
 class Trouble(NamedTuple):
-    at_us: int
-    lasts_us: int
+    """One fault to inject."""
+
+    at_us: int  # since the start of the day
+    duration_us: int
     kind: Kind
-    target: int  # of gateways or servers, as the kind has it; taken modulo their number
-    draw: float  # for the details of the kind
+    target: int  # index of a gateway or server, depending on the kind; taken modulo their number
+    variant: float  # in [0, 1): selects details of the kind
 
 
 def draw(seed, seconds):
-    """-> Troubles in order of time: bursts of two to four that overlap, and a quiet time before the end."""
-    chance, troubles, at = Random(seed), [], FIRST_S
-    while at < seconds - 4:
-        shared = chance.randrange(1 << 16)  # troubles of one gateway, or of one server, cross more often
-        for _ in range(chance.choice((2, 3, 3, 4))):
-            begin = at + chance.uniform(0, 0.8)
+    """Returns the day's troubles in order of time: overlapping bursts of two to four; none begins in the last three seconds."""
+    rng, troubles, at_s = Random(seed), [], FIRST_TROUBLE_S
+    while at_s < seconds - 4:
+        shared_target = rng.randrange(1 << 16)  # makes troubles of the same gateway or server coincide more often
+        for _ in range(rng.choice((2, 3, 3, 4))):
+            begin_s = at_s + rng.uniform(0, 0.8)
             troubles.append(
                 Trouble(
-                    int(begin * S),
-                    int(chance.uniform(0.4, 2.5) * S),
-                    chance.choice(list(Kind)),
-                    shared if chance.random() < SHARED else chance.randrange(1 << 16),
-                    chance.random(),
+                    int(begin_s * S),
+                    int(rng.uniform(0.4, 2.5) * S),
+                    rng.choice(list(Kind)),
+                    shared_target if rng.random() < SAME_TARGET_SHARE else rng.randrange(1 << 16),
+                    rng.random(),
                 )
             )
-        at += chance.uniform(1.2, 2.5)
+        at_s += rng.uniform(1.2, 2.5)
     return sorted(troubles, key=lambda trouble: trouble.at_us)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's schedule and its oracle, and one short day of it with real processes."""
+"""The soak: its schedule of troubles, its oracle, and one short day with real processes."""
 
 from itertools import pairwise
 
@@ -6,14 +6,14 @@
 
 from lapiswing.lab.soak.day import DayRunner
 from lapiswing.lab.soak.oracle import judge
-from lapiswing.lab.soak.records import Attempt, Call, Day, Process, State, Told
+from lapiswing.lab.soak.records import Attempt, Call, Day, Process, State, UnavailableReport
 from lapiswing.lab.soak.troubles import Kind, draw
 
 MS, S = 1000, 1_000_000
 SENT = 100 * S
 
 
-def test_the_schedule_follows_from_the_seed_and_knows_every_kind():
+def test_the_schedule_follows_from_the_seed_and_covers_every_kind():
     assert draw(3, 16) == draw(3, 16) != draw(4, 16)
     assert {trouble.kind for seed in range(60) for trouble in draw(seed, 16)} == set(Kind)
     assert all(hasattr(DayRunner, kind.name.lower()) for kind in Kind)
@@ -22,11 +22,11 @@
 def test_troubles_overlap():
     for seed in range(20):
         troubles = draw(seed, 16)
-        assert any(b.at_us < a.at_us + a.lasts_us for a, b in pairwise(troubles))
+        assert any(b.at_us < a.at_us + a.duration_us for a, b in pairwise(troubles))
 
 
 def good_day(effect="retryable", second_copies=True):
-    """One call, read and written, in time."""
+    """The records of one call with a prefill and a decode attempt, answered in time."""
     day = Day(1, second_copies={0: second_copies})
     day.processes.append(Process(0, 1, SENT - 5 * S, ready_us=SENT - 4 * S, descriptors=[20]))
     call = day.calls["a"] = Call(
@@ -38,7 +38,7 @@
         status=200,
         head_us=SENT + 100 * MS,
         end_us=SENT + 200 * MS,
-        finals=1,
+        final_answers=1,
         body=bytearray(b"data"),
         arrivals=[(SENT + 110 * MS, 4)],
     )
@@ -54,20 +54,21 @@
             ran=True,
             end_us=SENT + 190 * MS,
             sent=bytearray(b"data"),
-            whole_us=SENT + 190 * MS,
-            events_us=[(SENT + 100 * MS, 4)],
+            completed_us=SENT + 190 * MS,
+            event_ends=[(SENT + 100 * MS, 4)],
         )
     )
     return day, call
 
 
-def again(day, at_us, **changes):
+def add_attempt(day, at_us, **changes):
+    """Another attempt of the same call, by default at a second decode server."""
     fields = {
         "rid": "a",
         "server": "w2",
         "role": "write",
         "at_us": at_us,
-        "told_left_us": 0,
+        "stated_time_left_us": 0,
         "ran": True,
         "end_us": at_us + 50 * MS,
     } | changes
@@ -75,10 +76,10 @@
 
 
 def lost(day, call):
-    call.status, call.finals, call.failed, call.head_us = None, 0, "sent", None
+    call.status, call.final_answers, call.failed, call.head_us = None, 0, "sent", None
 
 
-def lost_at_the_door(day, call):
+def lost_after_sigterm(day, call):
     lost(day, call)
     day.processes[0].term_us = SENT - 390 * MS
 
@@ -88,11 +89,11 @@
 
 
 def two_answers(day, call):
-    call.finals = 2
+    call.final_answers = 2
 
 
 def cut(day, call):
-    call.failed, call.finals = "body", 0
+    call.failed, call.final_answers = "body", 0
 
 
 def changed(day, call):
@@ -105,7 +106,7 @@
 
 def twice(day, call):
     call.effect = "fragile"
-    again(day, SENT + 300 * MS)
+    add_attempt(day, SENT + 300 * MS)
 
 
 def refused(day, call):
@@ -114,35 +115,35 @@
 
 def window(day, call):
     call.effect = "dedup"
-    again(day, SENT + 2 * S)
+    add_attempt(day, SENT + 2 * S)
 
 
 def gone(day, call):
-    call.left_us = SENT + 300 * MS
-    again(day, SENT + 500 * MS)
+    call.client_left_us = SENT + 300 * MS
+    add_attempt(day, SENT + 500 * MS)
 
 
 def told_time(day, call):
-    day.attempts[0].told_left_us = 4 * S
+    day.attempts[0].stated_time_left_us = 4 * S
 
 
 def drain(day, call):
-    day.told.append(Told(0, "w", SENT - 2 * S))
+    day.unavailable_reports.append(UnavailableReport(0, "w", SENT - 2 * S))
 
 
 def held(day, call):
     day.states[0].end_us = SENT + 3 * S
     day.attempts[1].at_us = SENT + 2900 * MS
-    day.attempts[1].told_left_us = 0
+    day.attempts[1].stated_time_left_us = 0
 
 
 def never_released(day, call):
-    again(day, SENT + 300 * MS, role="read", ran=False)
+    add_attempt(day, SENT + 300 * MS, role="read", ran=False)
     day.states.append(State("a", "w2", SENT + 350 * MS))
 
 
 def crash(day, call):
-    day.processes[0].ended_us, day.processes[0].code = SENT + S, -1
+    day.processes[0].ended_us, day.processes[0].exit_code = SENT + S, -1
 
 
 def not_ready(day, call):
@@ -154,22 +155,22 @@
 
 
 def second_copy(day, call):
-    again(day, SENT + 100 * MS, ran=False)
+    add_attempt(day, SENT + 100 * MS, ran=False)
 
 
 def events(day, call):
     call.arrivals = [(SENT + 700 * MS, 4)]
-    call.end_us = day.attempts[1].whole_us = SENT + 710 * MS
+    call.end_us = day.attempts[1].completed_us = SENT + 710 * MS
 
 
 def unknown_id(day, call):
-    again(day, SENT, rid="b")
+    add_attempt(day, SENT, rid="b")
 
 
-BREAKS = {
+BREACHES = {
     unknown_id: "unknown id",
     lost: "lost",
-    lost_at_the_door: "lost",
+    lost_after_sigterm: "lost",
     late: "late",
     two_answers: "answered",
     cut: "cut",
@@ -192,27 +193,27 @@
 
 
 @pytest.mark.parametrize("effect", ["retryable", "dedup", "fragile"])
-def test_a_good_day_breaks_nothing(effect):
+def test_a_good_day_has_no_violations(effect):
     assert judge(good_day(effect, second_copies=False)[0]) == []
 
 
-@pytest.mark.parametrize("breach", BREAKS, ids=lambda breach: breach.__name__)
-def test_each_break_is_seen_as_what_it_is(breach):
+@pytest.mark.parametrize("breach", BREACHES, ids=lambda breach: breach.__name__)
+def test_each_breach_is_reported_under_its_rule(breach):
     day, call = good_day(second_copies=False)
     breach(day, call)
-    assert BREAKS[breach] in {violation.rule for violation in judge(day)}
+    assert BREACHES[breach] in {violation.rule for violation in judge(day)}
 
 
-def test_a_line_of_a_fault_in_a_log_is_a_violation(tmp_path):
+def test_a_fault_in_a_log_is_a_violation(tmp_path):
     day, _ = good_day()
     log = tmp_path / "log"
     log.write_text("level=info event=mode\nlevel=error event=fault why=KeyError\n")
-    day.processes[0].log = str(log)
+    day.processes[0].log_path = str(log)
     assert [violation.rule for violation in judge(day)] == ["fault"]
 
 
 def test_a_short_day_with_real_processes(tmp_path):
-    """Not a hunt: shows that the harness runs, and that a fleet in trouble breaks nothing."""
+    """Checks that the harness runs and that the invariants hold in one short day with troubles."""
     day = DayRunner(5, 6.5, 3, str(tmp_path)).play()
     assert len(day.processes) >= 3 and len(day.calls) > 20 and len(day.troubles) >= 2
     assert sum(call.status == 200 for call in day.calls.values()) > len(day.calls) // 2
