--- a/lapiswing/lab/soak/platform.py
+++ b/lapiswing/lab/soak/platform.py
@@ -78,7 +78,7 @@
     def have_read(self, exchange, rid):
         attempt = exchange.attempt
         if exchange.over:
-            # Its connection broke, but the prefill completed; its state is held all the same.
+            # The connection ended before the prefill completed; no state is recorded.
             return self.end_attempt(attempt)
         if rid in self.reading:
             self.platform.hold(rid, self)
