--- a/lapiswing/lab/__init__.py
+++ b/lapiswing/lab/__init__.py
@@ -1,1 +1,2 @@
-"""Scripted bad days, replays of bench days, and the auditor that judges the rules from traffic alone."""
+"""Fault scenarios ("days") played with real processes on loopback or simulated, and the audit that checks the five rules from
+records of the traffic alone."""
