--- a/lapiswing/lab/clients.py
+++ b/lapiswing/lab/clients.py
@@ -1,7 +1,7 @@
-"""Clients of a day, on one loop: they speak the chat API, keep their own time, and record what they saw."""
+"""The clients of a day, all on one loop. They use the chat API over HTTP or WebSocket sessions, enforce their own time limits
+and record what they observe."""
 
 import orjson
-
 from wsproto import ConnectionType, WSConnection
 from wsproto.events import AcceptConnection, CloseConnection, Ping, RejectConnection, Request, TextMessage
 from wsproto.utilities import LocalProtocolError, RemoteProtocolError
@@ -12,20 +12,20 @@
 from lapiswing.loop import connect
 from lapiswing.standin.box import answer_to
 
-MS = 1000
+MS = 1000  # in microseconds
 
 
 class Client:
-    """Plays one CallPlan: tries, waits as told, comes again, gives up."""
+    """Performs one CallPlan: sends tries, waits for the given retry-after before the next one, and gives up."""
 
-    def __init__(self, crowd, plan):
-        self.crowd, self.plan, self.tries, self.gateway = crowd, plan, 0, plan.gateway
-        self.born_us = crowd.loop.clock.now_us()
+    def __init__(self, workload, plan):
+        self.workload, self.plan, self.tries, self.gateway = workload, plan, 0, plan.gateway
+        self.started_us = workload.loop.clock.now_us()
         self.over = False
-        self.group = crowd.groups[plan.model]
-        self.key = plan.id if self.group.effect == "KEYED" else None
+        self.request_class = workload.classes[plan.model]
+        self.key = plan.id if self.request_class.effect == "KEYED" else None  # idempotency key
         self.refused = 0
-        crowd.record.put(
+        workload.record.put(
             "call",
             call=plan.id,
             model=plan.model,
@@ -34,59 +34,59 @@
             late=plan.late_importance,
             deadline_ms=plan.deadline_ms,
         )
-        self.go()
+        self.send_try()
 
     def left_us(self):
-        return self.born_us + self.plan.deadline_ms * MS - self.crowd.loop.clock.now_us()
+        return self.started_us + self.plan.deadline_ms * MS - self.workload.loop.clock.now_us()
 
-    def go(self):
-        # A try needs time for an answer; with less left the client has given up on the whole call.
+    def send_try(self):
+        # With less than 150 ms left there is no time for an answer.
         if self.over or self.left_us() < 150 * MS:
             return self.end("out of time")
         self.tries += 1
         if self.plan.session is None:
             HttpTry(self)
         else:
-            SessionTry(self, self.crowd.session(self.plan.session))
+            SessionTry(self, self.workload.session(self.plan.session))
 
     def end(self, how):
         if not self.over:
             self.over = True
-            self.crowd.record.put("over", call=self.plan.id, how=how)
-            self.crowd.running -= 1
+            self.workload.record.put("over", call=self.plan.id, how=how)
+            self.workload.running -= 1
 
-    def after(self, how, come_back_us):
-        """A try has ended."""
+    def on_try_end(self, how, retry_after_us):
+        """A try has ended: ends the call or schedules the next try."""
         plan = self.plan
         if how == "done":
             return self.end("done")
-        harmless = how == "pushed back" or self.group.effect == "REPLAYABLE" or self.key is not None
-        if how == "left" and plan.again and harmless and self.tries <= plan.retries:
-            return self.go()
+        repeatable = how == "pushed back" or self.request_class.effect == "REPLAYABLE" or self.key is not None
+        if how == "left" and plan.again and repeatable and self.tries <= plan.retries:
+            return self.send_try()
         if how in ("left", "gave up"):
             return self.end(how)
-        if how == "refused":  # no connection: nothing was taken
+        if how == "refused":  # no connection, so the gateway received nothing
             self.refused += 1
-            self.gateway = (self.gateway + 1) % self.crowd.gateways
-            if self.refused > 2 * self.crowd.gateways:
+            self.gateway = (self.gateway + 1) % self.workload.gateways
+            if self.refused > 2 * self.workload.gateways:
                 return self.end(how)
-            return self.crowd.loop.call_later(50 * MS, self.go)
-        if not harmless or self.tries - self.refused > plan.retries:
+            return self.workload.loop.call_later(50 * MS, self.send_try)
+        if not repeatable or self.tries - self.refused > plan.retries:
             return self.end(how)
-        wait = come_back_us if how == "pushed back" and plan.honour else 100 * MS
-        self.crowd.loop.call_later(wait, self.go)
+        wait_us = retry_after_us if how == "pushed back" and plan.honour else 100 * MS
+        self.workload.loop.call_later(wait_us, self.send_try)
 
 
 class Try:
-    """One try, however it is carried. Subclasses send it and call `content`, `finish`."""
+    """One try of a call. Subclasses send it over their transport and call `chunk` and `finish`."""
 
     def __init__(self, client):
-        self.client, self.crowd, self.plan = client, client.crowd, client.plan
+        self.client, self.workload, self.plan = client, client.workload, client.plan
         plan = self.plan
-        self.n, self.over, self.begun, self.status = client.tries, False, False, None
+        self.n, self.over, self.begun, self.status = client.tries, False, False, None  # begun: the first token has arrived
         self.lab = plan.id if client.key else f"{plan.id}.{self.n}"
-        self.text, self.ends, self.come_back_us = [], [], 0
-        self.deadline_ms = min(client.left_us() // MS, client.group.deadline_ms)
+        self.text, self.ends, self.retry_after_us = [], [], 0  # ends: events that end the stream, or break it
+        self.deadline_ms = min(client.left_us() // MS, client.request_class.deadline_ms)
         self.body = {
             "model": plan.model,
             "messages": [{"role": r, "content": c} for r, c in plan.texts],
@@ -100,6 +100,7 @@
         self.timer = None
 
     def sent(self, gateway, front):
+        """The try is being sent: records it and starts the client's timers."""
         self.put(
             "try",
             gateway=gateway,
@@ -109,12 +110,13 @@
             model=self.plan.model,
             front=front,
         )
-        self.timer = self.crowd.loop.call_later(self.deadline_ms * MS, self.give_up)
+        self.timer = self.workload.loop.call_later(self.deadline_ms * MS, self.give_up)
         if self.plan.leave_ms is not None and self.n == 1:
-            self.crowd.loop.call_later(round(self.plan.leave_ms * MS), self.leave)
+            self.workload.loop.call_later(round(self.plan.leave_ms * MS), self.leave)
 
     def put(self, ev, **fields):
-        self.crowd.record.put(ev, call=self.plan.id, n=self.n, **fields)
+        """Records a row of this try."""
+        self.workload.record.put(ev, call=self.plan.id, n=self.n, **fields)
 
     def give_up(self):
         if not self.begun and not self.over:
@@ -127,6 +129,7 @@
             self.finish("left")
 
     def chunk(self, value):
+        """A chunk of the answer has arrived."""
         for choice in value.get("choices") or ():
             content = (choice.get("delta") or {}).get("content")
             if content:
@@ -139,9 +142,10 @@
     def begin(self):
         self.begun = True
         self.timer.cancel()
-        self.put("first", ms=(self.crowd.loop.clock.now_us() - self.client.born_us) // MS)
+        self.put("first", ms=(self.workload.loop.clock.now_us() - self.client.started_us) // MS)
 
     def finish(self, how):
+        """The try has ended: records how, and whether the text is the expected one."""
         if self.over:
             return
         self.over = True
@@ -156,14 +160,16 @@
             how=how,
             status=self.status,
             fits=fits,
-            come_back_us=self.come_back_us,
+            come_back_us=self.retry_after_us,
             begun=self.begun,
             tokens=len(self.text),
         )
-        self.client.after(how, self.come_back_us)
+        self.client.on_try_end(how, self.retry_after_us)
 
 
 class HttpTry(Try):
+    """A try over its own HTTP connection."""
+
     def __init__(self, client):
         super().__init__(client)
         self.events, self.parts = Events(1 << 20), []
@@ -173,8 +179,8 @@
             *((k.encode(), v.encode()) for k, v in self.headers.items()),
         ]
         self.sent(client.gateway, "http")
-        self.exchange = self.crowd.pool.request(
-            ("127.0.0.1", self.crowd.ports[client.gateway]),
+        self.exchange = self.workload.pool.request(
+            ("127.0.0.1", self.workload.ports[client.gateway]),
             b"POST",
             b"/v1/chat/completions",
             fields,
@@ -189,7 +195,7 @@
     def on_head(self, status, fields):
         self.status = status
         ms = get(fields, b"retry-after-ms")
-        self.come_back_us = int(ms) * MS if ms else 0
+        self.retry_after_us = int(ms) * MS if ms else 0
         self.no_retry = get(fields, b"x-should-retry") == b"false"
 
     def on_body(self, data):
@@ -198,7 +204,7 @@
             return
         if self.plan.slow:
             self.exchange.pause()
-            self.crowd.loop.call_later(30 * MS, self.exchange.resume)
+            self.workload.loop.call_later(30 * MS, self.exchange.resume)
         for payload in self.events.feed(data):
             if payload == b"[DONE]":
                 self.ends.append("done")
@@ -231,35 +237,35 @@
 
 
 class SessionTry(Try):
-    """Over a WebSocket session, under an id of its own."""
+    """A try over a WebSocket session, under its own id."""
 
     def __init__(self, client, session):
         super().__init__(client)
-        self.session, self.id, self.last = session, f"{self.plan.id}.{self.n}", 0
+        self.session, self.id, self.last_seq = session, f"{self.plan.id}.{self.n}", 0
         session.call(self)
 
     def cancel(self):
         self.session.cancel(self)
 
     def give_up(self):
-        # While its link is down a client hears nothing; what was answered meanwhile comes when it is back.
-        if not self.begun and not self.over and not self.session.heard_lately():
-            self.timer = self.crowd.loop.call_later(200 * MS, self.give_up)
+        # Answers sent while the session was disconnected arrive only after it has resumed.
+        if not self.begun and not self.over and not self.session.is_settled():
+            self.timer = self.workload.loop.call_later(200 * MS, self.give_up)
             return
         super().give_up()
 
     def on_message(self, message):
         if self.over:
             return
-        if message["seq"] != self.last + 1:
+        if message["seq"] != self.last_seq + 1:
             self.ends.append("gap")
         if message["type"] == "events":
-            self.last = message["seq"] + len(message["chunks"]) - 1
+            self.last_seq = message["seq"] + len(message["chunks"]) - 1
             for value in message["chunks"]:
                 self.chunk(value)
             return
-        self.last, self.status = message["seq"], message["status"]
-        self.come_back_us = message.get("retry_after_ms", 0) * MS
+        self.last_seq, self.status = message["seq"], message["status"]
+        self.retry_after_us = message.get("retry_after_ms", 0) * MS
         if message["how"] == "done" and "completion" in message:
             self.begin()
             self.text = [message["completion"]["choices"][0]["message"]["content"]]
@@ -268,21 +274,21 @@
 
 
 class LabSession:
-    """A client's session: connects, drops as scripted, comes back, and carries many tries."""
+    """A client's WebSocket session. Carries many tries, disconnects as scripted and resumes."""
 
-    def __init__(self, crowd, number, gateway):
-        self.crowd, self.number, self.gateway = crowd, number, gateway
-        self.tries, self.line, self.token, self.up_us = {}, [], None, None
+    def __init__(self, workload, number, gateway):
+        self.workload, self.number, self.gateway = workload, number, gateway
+        self.tries, self.waiting, self.token, self.up_us = {}, [], None, None  # up_us: when the session was accepted
         self.stream = None
         self.connect()
 
     def connect(self):
-        connect(self.crowd.loop, ("127.0.0.1", self.crowd.ports[self.gateway]), 500 * MS, self.connected)
+        connect(self.workload.loop, ("127.0.0.1", self.workload.ports[self.gateway]), 500 * MS, self.connected)
 
     def connected(self, stream, why):
         if stream is None:
-            self.gateway = (self.gateway + 1) % self.crowd.gateways  # another one, as by a front layer
-            self.crowd.loop.call_later(60 * MS, self.connect)
+            self.gateway = (self.gateway + 1) % self.workload.gateways  # another one, as a load balancer would choose
+            self.workload.loop.call_later(60 * MS, self.connect)
             return
         self.stream, stream.owner, self.parts = stream, self, []
         self.frames = WSConnection(ConnectionType.CLIENT)
@@ -297,26 +303,27 @@
             )
         )
 
-    def say(self, **fields):
+    def send_message(self, **fields):
         self.stream.write(self.frames.send(TextMessage(orjson.dumps(fields).decode())))
 
-    def heard_lately(self):
-        return self.up_us is not None and self.crowd.loop.clock.now_us() - self.up_us > 500 * MS
+    def is_settled(self):
+        """Whether it has been connected long enough for pending answers to have arrived."""
+        return self.up_us is not None and self.workload.loop.clock.now_us() - self.up_us > 500 * MS
 
-    def call(self, one):
+    def call(self, session_try):
         if self.up_us is None:
-            self.line.append(one)
+            self.waiting.append(session_try)
             return
-        self.tries[one.id] = one
-        one.sent(self.gateway, "session")
-        self.say(type="call", id=one.id, body=one.body, headers=one.headers)
-
-    def cancel(self, one):
-        self.tries.pop(one.id, None)
-        if one in self.line:
-            self.line.remove(one)
+        self.tries[session_try.id] = session_try
+        session_try.sent(self.gateway, "session")
+        self.send_message(type="call", id=session_try.id, body=session_try.body, headers=session_try.headers)
+
+    def cancel(self, session_try):
+        self.tries.pop(session_try.id, None)
+        if session_try in self.waiting:
+            self.waiting.remove(session_try)
         elif self.up_us is not None:
-            self.say(type="cancel", id=one.id)
+            self.send_message(type="cancel", id=session_try.id)
 
     def on_data(self, data):
         try:
@@ -324,12 +331,12 @@
             for event in self.frames.events():
                 if isinstance(event, AcceptConnection):
                     if self.token:
-                        self.say(type="resume", token=self.token, seen={i: t.last for i, t in self.tries.items()})
+                        self.send_message(type="resume", token=self.token, seen={i: t.last_seq for i, t in self.tries.items()})
                 elif isinstance(event, TextMessage):
                     self.parts.append(event.data)
                     if event.message_finished:
                         text, self.parts = "".join(self.parts), []
-                        self.message(orjson.loads(text))
+                        self.handle_message(orjson.loads(text))
                 elif isinstance(event, Ping):
                     self.stream.write(self.frames.send(event.response()))
                 elif isinstance(event, (CloseConnection, RejectConnection)):
@@ -337,33 +344,33 @@
         except (RemoteProtocolError, LocalProtocolError):
             self.stream.abort()
 
-    def message(self, message):
+    def handle_message(self, message):
         kind = message["type"]
         if kind == "session":
-            self.token, self.up_us = message["token"], self.crowd.loop.clock.now_us()
-            for rid, one in list(self.tries.items()):
-                if rid not in message["next"] and one.timer:  # sent, and never heard of there: it was not taken
+            self.token, self.up_us = message["token"], self.workload.loop.clock.now_us()
+            for rid, session_try in list(self.tries.items()):
+                if rid not in message["next"] and session_try.timer:  # sent, but unknown to the gateway: not accepted
                     self.tries.pop(rid)
-                    one.finish("cut")
-            line, self.line = self.line, []
-            for one in line:
-                if not one.over:
-                    self.call(one)
+                    session_try.finish("cut")
+            waiting, self.waiting = self.waiting, []
+            for session_try in waiting:
+                if not session_try.over:
+                    self.call(session_try)
         elif kind == "not_resumed":
             tries, self.tries = self.tries, {}
-            for one in tries.values():
-                one.finish("cut")
+            for session_try in tries.values():
+                session_try.finish("cut")
         elif kind in ("events", "final") and message["id"] in self.tries:
-            one = self.tries[message["id"]]
-            one.on_message(message)
+            session_try = self.tries[message["id"]]
+            session_try.on_message(message)
             if kind == "final":
                 self.tries.pop(message["id"], None)
-                self.say(type="seen", id=message["id"], seq=message["seq"])
+                self.send_message(type="seen", id=message["id"], seq=message["seq"])
 
     def drop(self, away_ms):
-        """The radio link goes, without a word."""
+        """Breaks the connection and reconnects after `away_ms`."""
         if self.stream is not None and not self.stream.closed and self.up_us is not None:
-            self.crowd.record.put("cut", session=self.number)
+            self.workload.record.put("cut", session=self.number)
             self.away_ms = away_ms
             self.stream.abort()
 
@@ -371,7 +378,7 @@
 
     def on_closed(self, why):
         self.up_us = None
-        self.crowd.loop.call_later(round(self.away_ms * MS), self.connect)
+        self.workload.loop.call_later(round(self.away_ms * MS), self.connect)
         self.away_ms = 60
 
     def on_eof(self):
@@ -381,12 +388,12 @@
         pass
 
 
-class Crowd:
+class Workload:
     """All clients of a day."""
 
     def __init__(self, loop, pool, record, day, ports):
         self.loop, self.pool, self.record, self.ports = loop, pool, record, ports
-        self.groups = {g.name: g for g in day.groups}
+        self.classes = {c.name: c for c in day.classes}
         self.gateways, self.running, self.sessions = day.gateways, len(day.calls), {}
 
     def session(self, number):
@@ -394,7 +401,7 @@
             self.sessions[number] = LabSession(self, number, number % self.gateways)
         return self.sessions[number]
 
-    def cut(self, number, away_ms):
+    def drop_session(self, number, away_ms):
         if number in self.sessions:
             self.sessions[number].drop(away_ms)
 
--- a/lapiswing/lab/doubles.py
+++ b/lapiswing/lab/doubles.py
@@ -1,19 +1,20 @@
-"""Test doubles of the Router: two baselines to measure against, and gateways broken on purpose, one for each rule, that
-the auditor must find out. None of them is ever part of the product."""
+"""Test doubles of the Router: two baselines for comparison, and one double for each of the five rules that breaks it on
+purpose, so that tests can show that the audit detects it. The gateway itself never uses them."""
 
 from zlib import crc32
 
 from lapiswing.policy import Router
 
 
-class Simple:
-    """Reads anywhere, writes anywhere, tries again elsewhere until forwards or time run out. `pick` chooses."""
+class Baseline:
+    """Sends each request to any prefill server and then to any decode server, and retries elsewhere until attempts or time are
+    used up. Subclasses choose the server in `pick`."""
 
     def __init__(self, seed, settings, now_us):
-        self.seed, self.draws, self.turns = seed, 0, {}
-        self.groups, self.most = settings["groups"], settings["limits"]["max_attempts"]
+        self.seed, self.draw_count, self.next_index = seed, 0, {}
+        self.groups, self.max_attempts = settings["groups"], settings["limits"]["max_attempts"]
         self.roles = settings["family_info"]["duty_by_kind"]
-        self.come_back_us = settings["limits"]["max_retry_after_us"]
+        self.retry_after_us = settings["limits"]["max_retry_after_us"]
         self.rows, self.reqs = {}, {}
 
     def round(self, now_us, events, out):
@@ -27,13 +28,13 @@
         for row in rows:
             self.rows[row.id] = row
 
-    def usable(self, stage):
-        want = ("read", "both") if stage == "read" else ("write", "both")
-        return [r.id for r in self.rows.values() if r.mode == "ready" and self.roles[r.kind] in want]
+    def usable_servers(self, stage):
+        roles = ("read", "both") if stage == "read" else ("write", "both")
+        return [r.id for r in self.rows.values() if r.mode == "ready" and self.roles[r.kind] in roles]
 
-    def chance(self):
-        self.draws += 1
-        return crc32(b"%d/%d" % (self.seed, self.draws)) / 4294967296.0
+    def random_fraction(self):
+        self.draw_count += 1
+        return crc32(b"%d/%d" % (self.seed, self.draw_count)) / 4294967296.0
 
     def on_req(self, rid, tokens, expires, session, prefix, prefix_tokens, _out, _hint, _bits, tenant, group):
         self.reqs[rid] = {
@@ -46,12 +47,13 @@
             "closed": False,
             "begun": False,
         }
-        self.step(rid, "read")
+        self.send_attempt(rid, "read")
 
     def zone_of(self, server):
         return self.rows[server].zone if server in self.rows else None
 
-    def allowed(self, req, servers):
+    def allowed_servers(self, req, servers):
+        """The servers to which the request may be sent, given the attempts that may already have taken effect."""
         g = self.groups[req["group"]]
         if not req["ran"] or g.effect == "replayable":
             return servers
@@ -64,10 +66,10 @@
             and (g.repeat_scope == "all" or self.zone_of(s) == self.zone_of(req["ran"][0][0]))
         ]
 
-    def step(self, rid, stage):
+    def send_attempt(self, rid, stage):
         req = self.reqs[rid]
-        servers = self.allowed(req, self.usable(stage))
-        if not servers or req["sent"] >= self.most or self.now + 50_000 >= req["expires"]:
+        servers = self.allowed_servers(req, self.usable_servers(stage))
+        if not servers or req["sent"] >= self.max_attempts or self.now + 50_000 >= req["expires"]:
             return self.give_up(rid)
         server = self.pick(stage, servers)
         if stage == "write" or self.roles[self.rows[server].kind] == "both":
@@ -81,12 +83,13 @@
         req["closed"] = True
         g = self.groups[req["group"]]
         if not req["ran"] or g.effect == "replayable" or g.effect == "keyed" and g.repeat_scope == "all":
-            self.out.push_back(rid, self.come_back_us)
+            self.out.push_back(rid, self.retry_after_us)
         else:
             self.out.abort(rid)
-        self.let_go(rid)
+        self.clean_up(rid)
 
-    def let_go(self, rid):
+    def clean_up(self, rid):
+        """Releases the state of a closed request, and forgets the request once no attempt is in progress."""
         req = self.reqs[rid]
         if req["held"]:
             self.out.release(rid)
@@ -111,47 +114,51 @@
             req["held"] = False
         req["closed"] = req["closed"] or bool(ended)
         if req["closed"]:
-            return self.let_go(rid)
-        self.step(rid, "write" if req["held"] else "read")
+            return self.clean_up(rid)
+        self.send_attempt(rid, "write" if req["held"] else "read")
 
     def on_client_left(self, rid):
         if rid in self.reqs and not self.reqs[rid]["closed"]:
             self.reqs[rid]["closed"] = True
-            self.let_go(rid)
+            self.clean_up(rid)
 
     on_timer = on_place = on_probed = on_peer = lambda self, *fields: None
 
 
-class Random(Simple):
+class RandomBaseline(Baseline):
+    """Chooses a server at random."""
+
     def pick(self, stage, servers):
-        return servers[int(self.chance() * len(servers))]
+        return servers[int(self.random_fraction() * len(servers))]
+
 
+class RoundRobinBaseline(Baseline):
+    """Chooses the servers in turn."""
 
-class RoundRobin(Simple):
     def pick(self, stage, servers):
-        self.turns[stage] = self.turns.get(stage, 0) + 1
-        return servers[self.turns[stage] % len(servers)]
+        self.next_index[stage] = self.next_index.get(stage, 0) + 1
+        return servers[self.next_index[stage] % len(servers)]
 
 
-class Loses(Router):
-    """Breaks rule 1: forgets to answer what it gives up. The host's backstop would still answer, so it runs without."""
+class LosesRequests(Router):
+    """Breaks rule 1: does not answer requests that it gives up. The gateway's backstop would answer them, so it is disabled."""
 
     without_backstop = True
 
-    def give_up(self, req, come_back_us=0):
+    def give_up(self, req, retry_after_us=0):
         req.closed = True
         self.clean_up(req)
 
 
-class Doubles(Random):
-    """Breaks rule 2: sends again whatever may have run."""
+class RepeatsEffects(RandomBaseline):
+    """Breaks rule 2: sends requests again that may already have taken effect."""
 
-    def allowed(self, req, servers):
+    def allowed_servers(self, req, servers):
         return servers
 
 
-class Deaf(Random):
-    """Breaks rule 3: does not hear that a box drains or is gone."""
+class IgnoresDrains(RandomBaseline):
+    """Breaks rule 3: ignores that a server drains or is gone."""
 
     def on_servers(self, kind, rows):
         for row in rows:
@@ -159,15 +166,15 @@
                 self.rows[row.id] = row
 
 
-class Rushes(Random):
-    """Breaks rule 4: sends everything to the box that started last."""
+class OverloadsNewServers(RandomBaseline):
+    """Breaks rule 4: sends everything to the server that started last."""
 
     def pick(self, stage, servers):
         return max(servers, key=lambda s: self.rows[s].started_us)
 
 
-class Pins(Random):
-    """Breaks rule 5: keeps a read state for a second before its write."""
+class KeepsStates(RandomBaseline):
+    """Breaks rule 5: waits for a second between the prefill and the decode attempt, while the state is held."""
 
     def on_outcome(self, rid, number, server, code, latency, ended, remark, report):
         if code == "read" and not ended and rid in self.reqs:
@@ -178,17 +185,18 @@
 
     def on_timer(self, rid):
         if rid in self.reqs and not self.reqs[rid]["closed"]:
-            self.step(rid, "write")
+            self.send_attempt(rid, "write")
 
 
+# The values of the option --router.
 ROUTERS = {
     "module": Router,
-    "random": Random,
-    "round-robin": RoundRobin,
-    "loses": Loses,
-    "doubles": Doubles,
-    "deaf": Deaf,
-    "rushes": Rushes,
-    "pins": Pins,
+    "random": RandomBaseline,
+    "round-robin": RoundRobinBaseline,
+    "loses": LosesRequests,
+    "doubles": RepeatsEffects,
+    "deaf": IgnoresDrains,
+    "rushes": OverloadsNewServers,
+    "pins": KeepsStates,
 }
 BASELINES = ("random", "round-robin")
--- a/lapiswing/lab/fleetsim.py
+++ b/lapiswing/lab/fleetsim.py
@@ -1,10 +1,10 @@
-"""A fleet of links under a simulated clock and network, with faults by seed: many members, faster than real
-time, the same seed giving the same run.
+"""Simulates a fleet of gateway links (`lapiswing.fleet.link`) with a simulated clock and network. Runs many members faster than
+real time and injects faults; the same seed gives the same run.
 
     sim = Fleet(200, seed=1); sim.start_all(within_ms=1000); sim.run(5000)
     sim.net.loss = 0.3; sim.cut({0, 1}, {2, 3}); sim.kill(4); sim.stop(5, 2000); sim.start(4)
 
-Every member's disk is a dict that a fault may empty or roll back. Nothing here knows the wall clock."""
+Every member's disk is a dict, which a fault may empty or roll back. The wall clock is not used."""
 
 import heapq
 from itertools import count
@@ -15,30 +15,34 @@
 from lapiswing.fleet.members import Figures
 from lapiswing.standin.wire import Fates
 
-MS = 1000
-LOOK_US = 10 * MS  # how often `run` asks whether what it waits for has come about
+MS = 1000  # in microseconds
+CHECK_PERIOD_US = 10 * MS  # how often `run` evaluates the condition that it waits for
 KEY = b"a key of the simulated fleet...."
 
 
 class Network(Fates):
-    """One bad link's faults for all of them, and parts that are cut off. Times in us."""
+    """Applies the same random faults to all links, and cuts links between sets of members. Times in microseconds."""
 
     def __init__(self, rng):
         super().__init__(rng, (200, 2000))
-        self.cuts = []  # (from, to): sets of members that don't reach each other this way
+        self.cuts = []  # (senders, targets): messages from the first set to the second are lost
 
     def reaches(self, sender, target):
         return not any(sender in a and target in b for a, b in self.cuts)
 
 
 class Node:
+    """One member: its link while its process runs, and what outlives the process."""
+
     def __init__(self, index):
         self.index, self.link, self.epoch, self.stopped_until = index, None, 0, 0
         self.disk = {"life": None, "rows": {}}
-        self.events, self.held = [], []  # what it logged; what came while it stood still
+        self.events, self.unread = [], []  # (us, log event, fields); messages that came while it was stopped
 
 
 class Fleet:
+    """The members, the network between them and the queue of simulated events."""
+
     def __init__(self, n, seed, seeds=3, figures=Figures()):
         self.seed, self.figures = seed, figures
         self.net = Network(np.random.default_rng([seed, 1]))
@@ -46,20 +50,20 @@
         self.nodes = [Node(i) for i in range(n)]
         self.seeds = [self.address(i) for i in range(min(seeds, n))]
         self.now, self.queue, self.order, self.starts = 1_000_000, [], count(), count()
-        self.messages = 0
+        self.messages = 0  # sent so far
         self.on_row = lambda node, row, raw: None
 
     @staticmethod
     def address(index):
         return f"10.0.{index // 250}.{index % 250}:9300"
 
-    def call_later(self, after_us, call, *args):
-        heapq.heappush(self.queue, (self.now + after_us, next(self.order), call, args))
+    def call_later(self, after_us, callback, *args):
+        heapq.heappush(self.queue, (self.now + after_us, next(self.order), callback, args))
 
     # ---- members
 
     def start(self, i, keep=True):
-        """A process. `keep`: its disk is what it was."""
+        """Starts the process of member `i`. `keep=False` empties its disk first. Returns its Link."""
         node = self.nodes[i]
         node.epoch += 1
         if not keep:
@@ -97,7 +101,7 @@
         self.nodes[i].link = None
 
     def stop(self, i, for_ms):
-        """SIGSTOP: it neither ticks nor hears; what came waits in its sockets, as far as they hold it."""
+        """Like SIGSTOP: the member neither ticks nor reads; a limited number of messages waits in its sockets."""
         self.nodes[i].stopped_until = self.now + for_ms * MS
 
     def tick(self, node, epoch):
@@ -105,8 +109,8 @@
             return
         if node.stopped_until > self.now:
             return self.call_later(node.stopped_until - self.now, self.tick, node, epoch)
-        held, node.held = node.held, []
-        for data in held:
+        unread, node.unread = node.unread, []
+        for data in unread:
             node.link.heard(self.now, data)
         node.link.tick(self.now)
         self.call_later(TICK_US, self.tick, node, epoch)
@@ -119,21 +123,21 @@
         self.messages += 1
         if not 0 <= target < len(self.nodes) or not self.net.reaches(node.index, target):
             return
-        for after, copy in self.net.fates(data):
-            self.call_later(after, self.arrive, target, copy)
+        for after_us, copy in self.net.fates(data):
+            self.call_later(after_us, self.arrive, target, copy)
 
     def arrive(self, target, data):
         node = self.nodes[target]
         if node.link is None:
             return
         if node.stopped_until > self.now:
-            if len(node.held) < 200:
-                node.held.append(data)
+            if len(node.unread) < 200:
+                node.unread.append(data)
             return
         node.link.heard(self.now, data)
 
     def write(self, i, key, value):
-        """As a host does it: on the disk, then told. -> the Row."""
+        """Writes a row as a host does: first to the disk, then to the other members. Returns the Row."""
         node = self.nodes[i]
         row, raw = node.link.write(key, value)
         node.disk["rows"][row.key] = raw
@@ -153,23 +157,24 @@
     # ---- time
 
     def run(self, ms, until=None):
-        """-> the ms that passed; with `until` at most `ms` pass, and None if it did not come about."""
-        begun, end, looked = self.now, self.now + ms * MS, self.now
+        """Lets `ms` pass, or less if `until()` becomes true. Returns the ms that passed, or None if `until` stayed false."""
+        started, end, checked = self.now, self.now + ms * MS, self.now
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, call, args = heapq.heappop(self.queue)
-            call(*args)
-            if until is not None and self.now >= looked + LOOK_US:
-                looked = self.now
+            self.now, _, callback, args = heapq.heappop(self.queue)
+            callback(*args)
+            if until is not None and self.now >= checked + CHECK_PERIOD_US:
+                checked = self.now
                 if until():
-                    return (self.now - begun) / MS
+                    return (self.now - started) / MS
         self.now = end
         return ms if until is None or until() else None
 
     def up(self):
+        """The members whose process runs."""
         return [node for node in self.nodes if node.link is not None]
 
     def sees(self, i, j):
-        """The state of j in the eyes of i, by j's present or last identity."""
+        """The state that member i attributes to member j, looked up by j's current or last identity."""
         target = self.nodes[j]
         identity = target.link.id if target.link else f"gw-{j}#{target.disk['life']}"
         return self.nodes[i].link.members.state_of(identity)
@@ -179,5 +184,6 @@
         return all(a.link.members.state_of(b.link.id) == "alive" for a in up for b in up)
 
     def same_rows(self):
-        tables = [{at: row.version for at, row in node.link.rows.table.items()} for node in self.up()]
-        return all(t == tables[0] for t in tables)
+        """Whether all running members have the same versions of all rows."""
+        tables = [{key: row.version for key, row in node.link.rows.table.items()} for node in self.up()]
+        return all(table == tables[0] for table in tables)
--- a/lapiswing/lab/gateway.py
+++ b/lapiswing/lab/gateway.py
@@ -1,4 +1,4 @@
-"""python -m lapiswing.lab.gateway ROUTER SETTINGS: a gateway with a test double in the module's place."""
+"""`python -m lapiswing.lab.gateway ROUTER SETTINGS` runs a gateway with a test double instead of the Router."""
 
 import sys
 from pathlib import Path
@@ -15,7 +15,7 @@
     gateway = Gateway(
         settings, start_logs(settings.log.level, settings.log.format), base=str(Path(sys.argv[2]).parent), router=router
     )
-    gateway.core.guards.only_counts = True  # the auditor has to see what the double does
+    gateway.core.guards.only_counts = True  # the guards must not prevent violations that the audit has to see
     if getattr(router, "without_backstop", False):
         gateway.core.too_late = lambda req: None
     run_gateway(gateway)
--- a/lapiswing/lab/plan.py
+++ b/lapiswing/lab/plan.py
@@ -1,34 +1,38 @@
-"""What a day is: boxes, settings, faults, lists, gateways' fates and clients' calls. Pure data."""
+"""The description of a day (one run of a fault scenario): servers, settings, faults, changes of the server list, starts and ends
+of gateways, and the clients' calls. Pure data, and the settings files that follow from it."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass
 class CallPlan:
-    """One thing that a client wants. `leave_ms` after sending it goes away (and, with `again`, asks anew at once)."""
+    """One call that a client makes. `leave_ms` after sending it the client disconnects, and with `again` it repeats the call at
+    once."""
 
     id: str
     at_ms: float
     gateway: int
     model: str
     texts: list  # (role, content) of each message
-    tokens: int
+    tokens: int  # length of the answer
     deadline_ms: int
     retries: int = 2
     leave_ms: float | None = None
     again: bool = False
     stream: bool = True
-    slow: bool = False  # takes its answer in small sips
-    honour: bool = True  # stays away as long as told
+    slow: bool = False  # reads its answer slowly, in small parts
+    honour: bool = True  # waits as long as the answer's retry-after says
     target_ms: float = 1000.0
     importance: float = 1.0
     late_importance: float = 0.3
     tenant: str = "demo"
-    session: int | None = None  # over this WebSocket session in place of a call of its own
+    session: int | None = None  # number of the WebSocket session that carries the call; None for a plain HTTP request
 
 
 @dataclass
-class Group:
+class ClassPlan:
+    """One request class, with the fields of a `group` in the settings."""
+
     name: str
     effect: str = "REPLAYABLE"
     scope: str = "ALL"
@@ -44,17 +48,19 @@
 
 @dataclass
 class Day:
+    """One day. Times are ms since its start."""
+
     name: str
     seed: int
-    boxes: list  # dicts of BoxSpec fields
-    groups: list
+    server_specs: list  # dicts with the fields of a stand-in server (standin.box.BoxSpec)
+    classes: list
     calls: list
     length_ms: float
-    script: list = field(default_factory=list)  # faults at the boxes
-    lists: list = field(default_factory=list)  # (at_ms, box id, mode, cold since ms of the day or None)
-    fates: list = field(default_factory=list)  # (at_ms, gateway, "kill", "term" or "start")
-    cuts: list = field(default_factory=list)  # (at_ms, session, ms until it comes back): the link drops
-    records: list | None = None  # boxes are found by DNS-SD; (at_ms, what, value) of the name server, see run.Run.record_step
+    script: list = field(default_factory=list)  # faults at the servers
+    list_changes: list = field(default_factory=list)  # (at_ms, server id, mode, its cold start in ms or None)
+    gateway_events: list = field(default_factory=list)  # (at_ms, gateway, "kill", "term" or "start")
+    session_drops: list = field(default_factory=list)  # (at_ms, session, ms until it reconnects): its connection breaks
+    dns_steps: list | None = None  # servers are found by DNS-SD; steps (at_ms, what, value) of the name server, see Run.dns_step
     doubt_ms: int = 3000
     gateways: int = 2
     zones: list = field(default_factory=lambda: ["a", "b"])  # of the gateways, in turn
@@ -69,25 +75,25 @@
     max_come_back_ms: int = 1000
     read_memory: int = 120000
     write_memory: int = 120000
-    wants: list = field(default_factory=list)  # cases that the audit must have seen, see audit.py
-    notes: list = field(default_factory=list)  # what could not be mapped
+    required_cases: list = field(default_factory=list)  # cases that the audit must see, keys of `seen` in audit.py
+    notes: list = field(default_factory=list)  # parts of a replayed day that could not be mapped
 
 
-KINDS = {"read": "rd", "write": "wr", "both": "mx"}
+KINDS = {"read": "rd", "write": "wr", "both": "mx"}  # role -> name of the kind in the settings
 
 
 SERVICE = "_llm-box._tcp.lab.example."
 
 
 def settings_text(day, index, port, nameserver=0):
-    """The settings file of one gateway of the day."""
+    """The settings file of gateway `index`. `nameserver` is the port of the DNS server, if the day uses one."""
     lines = [
         f'gateway {{ name: "lab" index: {index} gateways: {day.gateways} drain_limit_ms: 3000',
         f'          zone: "{day.zones[index % len(day.zones)]}" seed: {day.seed * 1000 + index + 1} }}',
         f"listen {{ port: {port} }}",
         *(
             [f'dns {{ server: "127.0.0.1:{nameserver}" service: "{SERVICE}" gone_ms: 1500 doubt_ms: {day.doubt_ms} }}']
-            if day.records is not None
+            if day.dns_steps is not None
             else ['boxes_file: "boxes.txtpb"', "boxes_poll_ms: 100"]
         ),
         f"limits {{ margin_ms: {day.margin_ms} max_forwards: {day.max_forwards} max_come_back_ms: {day.max_come_back_ms} }}",
@@ -97,7 +103,7 @@
         f'admin {{ path: "gateway{index}.sock" }}',
         'tenant { name: "demo" api_key: "demo" }',
     ]
-    for g in day.groups:
+    for g in day.classes:
         lines.append(
             f'group {{ name: "{g.name}" model: "{g.name}" effect: {g.effect} repeat_scope: {g.scope} '
             f"repeat_window_ms: {g.window_ms} target_ms: {g.target_ms} target_per_1000_ms: {g.target_per_1000_ms} "
@@ -111,10 +117,10 @@
 
 
 def boxes_text(day, modes, started):
-    """The boxes' file: `modes` by box id (left out: not listed), `started` Unix ms by box id."""
+    """The file that lists the servers: `modes` by server id (missing ones are not listed), `started` by server id in Unix ms."""
     return "".join(
         f'box {{ id: "{b["id"]}" kind: "{KINDS[b["role"]]}" zone: "{b["zone"]}" cell: "{b["cell"]}" '
         f"mode: {modes[b['id']].upper()} started_ms: {started.get(b['id'], 0)} }}\n"
-        for b in day.boxes
+        for b in day.server_specs
         if modes.get(b["id"], "gone") != "gone"
     )
--- a/lapiswing/lab/play.py
+++ b/lapiswing/lab/play.py
@@ -1,4 +1,4 @@
-"""One day in a worker process."""
+"""Plays one day; called in worker processes."""
 
 import shutil
 from pathlib import Path
@@ -7,7 +7,8 @@
 
 
 def play_one(args):
-    """(make, seed, router, keep) -> result, or a text where the day could not be played."""
+    """`args`: (function that makes the day, seed, router name, folder for records or None). Returns the result as a dict, or a
+    text if the day could not be played."""
     make, seed, router, keep = args
     day = make(seed)
     run = Run(day, router, Path(keep) / f"{day.name}-{seed}-{router}" if keep else None)
--- a/lapiswing/lab/run.py
+++ b/lapiswing/lab/run.py
@@ -1,4 +1,4 @@
-"""Plays a day: gateways and boxes as processes of their own, clients in this one, all on loopback."""
+"""Plays a day on loopback: gateways and stand-in servers run as processes of their own, the clients in this one."""
 
 import os
 import signal
@@ -14,108 +14,111 @@
 from lapiswing.errors import OperatorError
 from lapiswing.http1 import Pool
 from lapiswing.lab.audit import Limits, audit, service
-from lapiswing.lab.clients import Crowd
+from lapiswing.lab.clients import Workload
 from lapiswing.lab.plan import KINDS, SERVICE, boxes_text, settings_text
 from lapiswing.loop import Clock, Loop, listen_socket
 from lapiswing.standin.nameserver import NameServer
 from lapiswing.standin.record import Record, read_records
 
-MS = 1000
-START_MS = 2500  # the day's zero comes this long after its processes were started
-SETTLE_MS = 1500  # after the last client
+MS = 1000  # in microseconds
+START_MS = 2500  # time for the processes to start; the day begins then
+SETTLE_MS = 1500  # from the last client's end to the end of the records
 
 
 class DayFailed(OperatorError):
-    """The day could not be played; it says nothing about the rules."""
+    """The day could not be played. This says nothing about the rules."""
 
     advice = "Look at the named logs, then play the day again, with fewer `--jobs` where the machine is busy."
 
 
 class Ports:
-    """Free ports. They are found by binding, so two runs at once don't take the same ones as long as each draws from
-    a part of the range that its process owns."""
+    """Finds free ports by binding them. The search starts at a port that depends on the process id, so that two runs at the same
+    time don't find the same ports."""
 
     def __init__(self, n):
-        self.found, held = [], []
-        at = 10000 + (os.getpid() * 397) % 20000
+        self.found, sockets = [], []
+        port = 10000 + (os.getpid() * 397) % 20000
         while len(self.found) < n:
-            at = 10000 + (at + 1 - 10000) % 22000  # below the range that the kernel takes for outgoing connections
+            port = 10000 + (port + 1 - 10000) % 22000  # below the kernel's ephemeral port range
             try:
-                held.append(listen_socket("127.0.0.1", at))
-                self.found.append(at)
+                sockets.append(listen_socket("127.0.0.1", port))
+                self.found.append(port)
             except OSError:
                 continue
-        for sock in held:
+        for sock in sockets:
             sock.close()
 
 
 class Run:
+    """One run of a day with the given router (a key of doubles.ROUTERS). Records and logs are kept in `folder`."""
+
     def __init__(self, day, router="module", folder=None):
         self.day, self.router = day, router
         self.folder = Path(folder or tempfile.mkdtemp(prefix="lapiswing-day-"))
         self.folder.mkdir(parents=True, exist_ok=True)
         for old in [*self.folder.glob("*.jsonl"), *self.folder.glob("*.log")]:
-            old.unlink()  # an earlier run's records are not this one's
+            old.unlink()  # records of an earlier run
         self.loop = Loop(Clock())
         self.record = Record(self.loop)
-        self.gateways, self.died, self.asked, self.fleet = {}, [], set(), None
+        self.gateways, self.died, self.ended_on_purpose, self.fleet = {}, [], set(), None
         self.logs = {}
 
     def play(self):
-        """-> result dict. All processes are ended whatever happens."""
+        """Plays the day and returns the result as a dict. Ends all processes in any case."""
         day = self.day
-        ports = Ports(day.gateways + len(day.boxes)).found
-        self.ports, names = ports[: day.gateways], ports[day.gateways :]
-        renamed = {b["id"]: f"127.0.0.1:{p}" for b, p in zip(day.boxes, names)}
-        day = self.day = rename(day, renamed)
-        self.modes = {b["id"]: "ready" if b.get("listed", True) else "gone" for b in day.boxes}
-        self.started = {}
+        ports = Ports(day.gateways + len(day.server_specs)).found
+        self.ports, server_ports = ports[: day.gateways], ports[day.gateways :]
+        addresses = {b["id"]: f"127.0.0.1:{p}" for b, p in zip(day.server_specs, server_ports)}
+        day = self.day = rename_servers(day, addresses)
+        self.modes = {b["id"]: "ready" if b.get("listed", True) else "gone" for b in day.server_specs}
+        self.started = {}  # server id -> listed start time in Unix ms
         self.unix_offset_us = time.time_ns() // 1000 - self.loop.clock.now_us()
         self.t0 = self.loop.clock.now_us() + START_MS * MS
         try:
-            if day.records is not None:
-                self.names = NameServer(self.loop)
-                for at_ms, what, value in day.records:
-                    self.loop.call_at(self.t0 + round(at_ms * MS), self.record_step, what, value)
+            if day.dns_steps is not None:
+                self.name_server = NameServer(self.loop)
+                for at_ms, what, value in day.dns_steps:
+                    self.loop.call_at(self.t0 + round(at_ms * MS), self.dns_step, what, value)
             self.start_fleet()
-            self.write_boxes()
+            self.write_server_list()
             for i in range(day.gateways):
                 self.start_gateway(i)
             self.wait_for_gateways()
             if self.loop.clock.now_us() > self.t0:
                 raise DayFailed(self.folder, "the processes took too long to start")
-            crowd = Crowd(self.loop, Pool(self.loop), self.record, day, self.ports)
-            crowd.play(day.calls, self.t0)
-            for at_ms, box, mode, cold in day.lists:
-                self.loop.call_at(self.t0 + round(at_ms * MS), self.list, box, mode, cold)
-            for at_ms, session, away_ms in day.cuts:
-                self.loop.call_at(self.t0 + round(at_ms * MS), crowd.cut, session, away_ms)
-            for at_ms, gateway, what in day.fates:
-                self.loop.call_at(self.t0 + round(at_ms * MS), self.fate, gateway, what)
+            workload = Workload(self.loop, Pool(self.loop), self.record, day, self.ports)
+            workload.play(day.calls, self.t0)
+            for at_ms, server, mode, cold_start_ms in day.list_changes:
+                self.loop.call_at(self.t0 + round(at_ms * MS), self.change_list, server, mode, cold_start_ms)
+            for at_ms, session, away_ms in day.session_drops:
+                self.loop.call_at(self.t0 + round(at_ms * MS), workload.drop_session, session, away_ms)
+            for at_ms, gateway, what in day.gateway_events:
+                self.loop.call_at(self.t0 + round(at_ms * MS), self.apply_gateway_event, gateway, what)
             end = self.t0 + round((day.length_ms + 20000) * MS)
             self.loop.run_until(
-                lambda: (crowd.running <= 0 and self.loop.now > self.t0 + day.length_ms * MS) or self.loop.now > end,
+                lambda: (workload.running <= 0 and self.loop.now > self.t0 + day.length_ms * MS) or self.loop.now > end,
                 round((day.length_ms + 30000) * MS),
             )
-            left = crowd.running
-            settle = self.loop.clock.now_us() + SETTLE_MS * MS
-            self.loop.run_until(lambda: self.loop.now > settle, 2 * SETTLE_MS * MS)
-            self.look_for_dead()
-            return self.judge(left)
+            unended = workload.running
+            settled_us = self.loop.clock.now_us() + SETTLE_MS * MS
+            self.loop.run_until(lambda: self.loop.now > settled_us, 2 * SETTLE_MS * MS)
+            self.find_crashed()
+            return self.judge(unended)
         finally:
             self.stop()
-            if self.names is not None:
-                self.names.close()
+            if self.name_server is not None:
+                self.name_server.close()
 
     def start_fleet(self):
+        """Starts the process of the stand-in servers."""
         day = self.day
         value = {
             "seed": day.seed,
             "record": str(self.folder / "boxes.jsonl"),
             "t0_us": self.t0,
-            "boxes": day.boxes,
+            "boxes": day.server_specs,
             "script": day.script,
-            "models": {g.name: {"scope": g.scope.lower(), "window_ms": g.window_ms} for g in day.groups},
+            "models": {g.name: {"scope": g.scope.lower(), "window_ms": g.window_ms} for g in day.classes},
         }
         path = self.folder / "fleet.json"
         path.write_bytes(orjson.dumps(value))
@@ -132,7 +135,7 @@
 
     def start_gateway(self, i):
         path = self.folder / f"gateway{i}.txtpb"
-        path.write_text(settings_text(self.day, i, self.ports[i], self.names.address[1] if self.names else 0))
+        path.write_text(settings_text(self.day, i, self.ports[i], self.name_server.address[1] if self.name_server else 0))
         if self.router == "module":
             self.gateways[i] = self.spawn(f"gateway{i}", ["serve", str(path)])
         else:
@@ -153,30 +156,31 @@
                         raise DayFailed(f"{self.folder}/gateway{i}.log", f"gateway {i} did not start") from None
                     time.sleep(0.02)
 
-    names, withdrawn = None, frozenset()
+    name_server, withdrawn = None, frozenset()
 
-    def record_step(self, what, value):
-        """The name server: silent, garbage, rcode, delay_ms (see NameServer), or `withdraw`: names that its records leave out."""
+    def dns_step(self, what, value):
+        """Changes the name server: sets silent, garbage, rcode or delay_ms (see NameServer), or withdraws the records of the
+        servers in `value`."""
         self.record.put("records", what=what, value=value if what != "withdraw" else len(value))
         if what == "withdraw":
             self.withdrawn = frozenset(value)
             self.write_records()
         else:
-            setattr(self.names, what, value)
+            setattr(self.name_server, what, value)
 
     def write_records(self):
-        """The zone, from what the list says now and what is left out."""
-        zone = self.names.zone
+        """Writes the DNS zone: all listed servers but the withdrawn ones."""
+        zone = self.name_server.zone
         zone.clear()
-        for i, b in enumerate(self.day.boxes):
+        for i, b in enumerate(self.day.server_specs):
             name = b["id"]
             if self.modes.get(name, "gone") == "gone" or name in self.withdrawn:
                 continue
-            more = {"drain": 1} if self.modes[name] == "draining" else {}
+            attributes = {"drain": 1} if self.modes[name] == "draining" else {}
             if self.started.get(name):
-                more["gen"] = self.started[name]
+                attributes["gen"] = self.started[name]
             host, _, port = name.rpartition(":")
-            self.names.box(
+            self.name_server.box(
                 SERVICE,
                 f"box{i}",
                 f"h{i}.lab.example.",
@@ -186,34 +190,35 @@
                 kind=KINDS[b["role"]],
                 zone=b["zone"],
                 cell=b["cell"],
-                **more,
+                **attributes,
             )
 
-    def write_boxes(self):
-        if self.names is not None:
+    def write_server_list(self):
+        if self.name_server is not None:
             return self.write_records()
-        new = self.folder / "boxes.new"
-        new.write_text(boxes_text(self.day, self.modes, self.started))
-        os.replace(new, self.folder / "boxes.txtpb")
-
-    def list(self, box, mode, cold):
-        """The list says of a box from now on: its mode and, in ms of the day, its start."""
-        self.modes[box] = mode
-        if cold is not None:
-            self.started[box] = (self.t0 + round(cold * MS) + self.unix_offset_us) // MS
-        self.write_boxes()
-        self.record.put("list", box=box, mode=mode, started=cold is not None)
-
-    def fate(self, i, what):
+        new_file = self.folder / "boxes.new"
+        new_file.write_text(boxes_text(self.day, self.modes, self.started))
+        os.replace(new_file, self.folder / "boxes.txtpb")
+
+    def change_list(self, server, mode, cold_start_ms):
+        """Lists a server with this mode and, if given, this start time (ms of the day) from now on."""
+        self.modes[server] = mode
+        if cold_start_ms is not None:
+            self.started[server] = (self.t0 + round(cold_start_ms * MS) + self.unix_offset_us) // MS
+        self.write_server_list()
+        self.record.put("list", box=server, mode=mode, started=cold_start_ms is not None)
+
+    def apply_gateway_event(self, i, what):
+        """Starts gateway `i`, or ends it by SIGKILL ("kill") or SIGTERM ("term")."""
         process = self.gateways[i]
         if what == "start":
-            if process.poll() is None and i in self.asked:  # it still drains; the clients must not be held up for that
-                return self.loop.call_later(20 * MS, self.fate, i, what)
-            self.asked.discard(i)
+            if process.poll() is None and i in self.ended_on_purpose:  # it still drains; waiting would hold up the clients
+                return self.loop.call_later(20 * MS, self.apply_gateway_event, i, what)
+            self.ended_on_purpose.discard(i)
             return self.start_gateway(i)
         if process.poll() is not None:
             return
-        self.asked.add(i)
+        self.ended_on_purpose.add(i)
         if what == "kill":
             self.record.put("killed", gateway=i)
             process.kill()
@@ -221,19 +226,22 @@
         else:
             self.record.put("termed", gateway=i)
             process.terminate()
-            self.look_for_end(i, process)
+            self.poll_end(i, process)
 
-    def look_for_end(self, i, process):
+    def poll_end(self, i, process):
+        """Records when the process has ended."""
         if process.poll() is None:
-            return self.loop.call_later(5 * MS, self.look_for_end, i, process)
+            return self.loop.call_later(5 * MS, self.poll_end, i, process)
         self.record.put("stopped", gateway=i)
 
-    def look_for_dead(self):
+    def find_crashed(self):
+        """Notes the processes that ended although nobody ended them."""
         if self.fleet.poll() is not None:
             self.died.append("fleet")
-        self.died += [f"gateway {i}" for i, p in self.gateways.items() if p.poll() is not None and i not in self.asked]
+        self.died += [f"gateway {i}" for i, p in self.gateways.items() if p.poll() is not None and i not in self.ended_on_purpose]
 
     def stop(self):
+        """Ends all processes."""
         for process in [*self.gateways.values(), *([self.fleet] if self.fleet else [])]:
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
@@ -246,25 +254,26 @@
             if process.stdout:
                 process.stdout.close()
 
-    def judge(self, left):
+    def judge(self, unended):
+        """Audits the records. Returns the result."""
         day = self.day
-        boxes = read_records(self.folder / "boxes.jsonl")
+        servers = read_records(self.folder / "boxes.jsonl")
         clients = [r for r in self.record.rows if "call" in r]
         runner = [r for r in self.record.rows if "call" not in r]
         (self.folder / "clients.jsonl").write_bytes(b"".join(orjson.dumps(r) + b"\n" for r in self.record.rows))
         limits = Limits(
             day.grace_ms,
             day.let_go_ms,
-            window_ms={g.name: g.window_ms for g in day.groups},
-            scope={g.name: g.scope for g in day.groups},
-            effect={g.name: g.effect for g in day.groups},
-            # records with lifetimes of a second are asked for again after 0.8 s, in looks of 0.2 s
-            poll_ms=1500 if day.records is not None else 150,
-            place={b["id"]: {"zone": b["zone"], "cell": b["cell"]} for b in day.boxes},
+            window_ms={g.name: g.window_ms for g in day.classes},
+            scope={g.name: g.scope for g in day.classes},
+            effect={g.name: g.effect for g in day.classes},
+            # DNS records with a TTL of 1 s are queried again after 0.8 s, checked every 0.2 s.
+            poll_ms=1500 if day.dns_steps is not None else 150,
+            place={b["id"]: {"zone": b["zone"], "cell": b["cell"]} for b in day.server_specs},
         )
-        found = audit(clients, boxes, runner, limits)
+        found = audit(clients, servers, runner, limits)
         figure, counts = service(clients)
-        missing = [w for w in day.wants if not found["seen"].get(w)]
+        missing = [w for w in day.required_cases if not found["seen"].get(w)]
         return {
             "day": day.name,
             "seed": day.seed,
@@ -285,14 +294,14 @@
             "seen": found["seen"],
             "missing": missing,
             "died": self.died,
-            "unended": left,
+            "unended": unended,
             "notes": day.notes,
             "folder": str(self.folder),
             "findings": self.findings(),
         }
 
     def findings(self):
-        """What the gateways' diagnosis said, in ms of the day."""
+        """The findings that the gateways' diagnosis logged, with times in ms of the day."""
         out = []
         for i in self.gateways:
             for line in (self.folder / f"gateway{i}.log").read_bytes().splitlines():
@@ -312,26 +321,27 @@
         return out
 
 
-def rename(day, names):
-    """The day with its boxes' ids replaced."""
+def rename_servers(day, names):
+    """Returns the day with the ids of its servers replaced."""
     from dataclasses import replace
 
-    records = day.records and [(t, w, [names[b] for b in v] if w == "withdraw" else v) for t, w, v in day.records]
+    dns_steps = day.dns_steps and [(t, w, [names[b] for b in v] if w == "withdraw" else v) for t, w, v in day.dns_steps]
     return replace(
         day,
-        records=records,
-        boxes=[{**b, "id": names[b["id"]]} for b in day.boxes],
+        dns_steps=dns_steps,
+        server_specs=[{**b, "id": names[b["id"]]} for b in day.server_specs],
         script=[{**s, "boxes": [names[b] for b in s["boxes"]]} for s in day.script],
-        lists=[(t, names[b], m, c) for t, b, m, c in day.lists],
+        list_changes=[(t, names[b], m, c) for t, b, m, c in day.list_changes],
     )
 
 
 def passed(result):
+    """Whether no rule was broken, all required cases were seen, no process ended unexpectedly, and every client ended."""
     return not (any(r["broken"] for r in result["rules"]) or result["missing"] or result["died"] or result["unended"])
 
 
 def format_result(result):
-    """What a person reads."""
+    """Formats a result for the command line."""
     lines = [
         f"{result['day']}, seed {result['seed']}"
         + (f", router {result['router']}" if result["router"] != "module" else "")
@@ -345,9 +355,9 @@
         )
         lines += [f"      {b}" for b in r["broken"][:5]]
     if result["missing"]:
-        lines.append(f"  the script is there for {', '.join(result['missing'])}, and none was seen")
+        lines.append(f"  required cases not seen: {', '.join(result['missing'])}")
     if result["died"]:
-        lines.append(f"  died unasked: {', '.join(result['died'])}, see {result['folder']}")
+        lines.append(f"  ended unexpectedly: {', '.join(result['died'])}, see {result['folder']}")
     if result["unended"]:
         lines.append(f"  {result['unended']} clients never ended")
     lines += [f"  not mapped: {n}" for n in result["notes"]]
--- a/lapiswing/lab/scripts.py
+++ b/lapiswing/lab/scripts.py
@@ -1,9 +1,9 @@
-"""The scripted bad days. Each is a function of a seed; what it is there for stands in `wants`, and the audit must have
-seen it."""
+"""The scripted days, each a function of a seed. `required_cases` names the cases that a day is there to test; the audit must
+see all of them."""
 
 from random import Random
 
-from lapiswing.lab.plan import CallPlan, Day, Group
+from lapiswing.lab.plan import CallPlan, ClassPlan, Day
 
 SHARED = [
     "You answer questions about the week's menu. " * 60,
@@ -13,7 +13,8 @@
 LENGTH_MS = 7000
 
 
-def boxes(readers=3, writers=4, mixed=0, **more):
+def servers(readers=3, writers=4, mixed=0, **more):
+    """Specs of prefill servers (role "read"), decode servers ("write") and servers that do both, in two zones."""
     out = []
     for i in range(readers + writers + mixed):
         role = "read" if i < readers else "write" if i < readers + writers else "both"
@@ -37,38 +38,39 @@
     return out
 
 
-def groups():
+def classes():
+    """The request classes of all scripted days, one for each effect and repeat scope."""
     return [
-        Group("question", resume=True),
-        Group("order", "KEYED"),
-        Group("order-here", "KEYED", "ZONE"),
-        Group("pay", "NON_REPLAYABLE"),
+        ClassPlan("question", resume=True),
+        ClassPlan("order", "KEYED"),
+        ClassPlan("order-here", "KEYED", "ZONE"),
+        ClassPlan("pay", "NON_REPLAYABLE"),
     ]
 
 
-MIX = [("question", 0.6), ("order", 0.2), ("order-here", 0.1), ("pay", 0.1)]
+CLASS_SHARES = [("question", 0.6), ("order", 0.2), ("order-here", 0.1), ("pay", 0.1)]
 
 
-def calls(rng, rate, length_ms=LENGTH_MS, gateways=2, mix=MIX, tokens=(8, 60), **more):
-    """Arrivals without memory at `rate` a second."""
-    out, at = [], 0.0
-    sessions = []
+def calls(rng, rate, length_ms=LENGTH_MS, gateways=2, mix=CLASS_SHARES, tokens=(8, 60), **more):
+    """Poisson arrivals of calls at `rate` per second. Some continue an earlier conversation."""
+    out, at_ms = [], 0.0
+    conversations = []
     while True:
-        at += rng.expovariate(rate) * 1000
-        if at >= length_ms:
+        at_ms += rng.expovariate(rate) * 1000
+        if at_ms >= length_ms:
             return out
         model = rng.choices([m for m, _ in mix], [p for _, p in mix])[0]
-        if sessions and rng.random() < 0.4:
-            texts = list(rng.choice(sessions))
+        if conversations and rng.random() < 0.4:
+            texts = list(rng.choice(conversations))
             texts += [("assistant", "soup and bread " * rng.randint(3, 20))]
         else:
             texts = [("system", SHARED[rng.randrange(len(SHARED))])]
         texts.append(("user", f"Question {rng.randrange(10**9)}: " + "what is for lunch? " * rng.randint(1, 40)))
-        sessions = [*sessions[-30:], texts]
+        conversations = [*conversations[-30:], texts]
         out.append(
             CallPlan(
                 f"c{len(out)}",
-                at,
+                at_ms,
                 rng.randrange(gateways),
                 model,
                 texts,
@@ -85,50 +87,54 @@
     return [b["id"] for b in rows if b["role"] == role]
 
 
-def make(name, seed, rate=22, wants=(), script=(), rows=None, plans=None, rng=None, **more):
+def make_day(name, seed, rate=22, required_cases=(), script=(), rows=None, plans=None, rng=None, **more):
+    """A Day with the usual request classes; `rows` are server specs, `plans` the calls."""
     rng = rng or Random(f"{name}/{seed}")
-    rows = rows or boxes()
+    rows = rows or servers()
     return Day(
         name,
         seed,
         rows,
-        groups(),
+        classes(),
         plans if plans is not None else calls(rng, rate),
         LENGTH_MS,
         script=list(script),
-        wants=["final done", *wants],
+        required_cases=["final done", *required_cases],
         **more,
     )
 
 
 def quiet(seed):
-    return make("quiet", seed, rate=15)
+    """No faults."""
+    return make_day("quiet", seed, rate=15)
 
 
 def reader_dies(seed):
+    """A prefill server crashes."""
     rng = Random(f"reader_dies/{seed}")
-    rows = boxes(read_per_s=4000.0)
+    rows = servers(read_per_s=4000.0)
     victim = rng.choice(of_role(rows, "read"))
-    return make(
+    return make_day(
         "reader-dies",
         seed,
         rows=rows,
         rng=rng,
-        wants=["fault die", "down"],
+        required_cases=["fault die", "down"],
         script=[{"at_ms": rng.uniform(1500, 3500), "boxes": [victim], "do": "die"}],
     )
 
 
 def writer_dies(seed):
+    """Two decode servers crash while they stream answers."""
     rng = Random(f"writer_dies/{seed}")
-    rows = boxes()
-    return make(
+    rows = servers()
+    return make_day(
         "writer-dies-mid-stream",
         seed,
         rows=rows,
         rng=rng,
         plans=calls(rng, 22, tokens=(60, 120)),
-        wants=["fault die", "end left"],
+        required_cases=["fault die", "end left"],
         script=[
             {"at_ms": rng.uniform(1500, 2500), "boxes": [of_role(rows, "write")[0]], "do": "die"},
             {"at_ms": rng.uniform(3000, 4500), "boxes": [of_role(rows, "write")[2]], "do": "die"},
@@ -137,14 +143,15 @@
 
 
 def hang(seed):
+    """Servers accept requests without answering, and streams stall."""
     rng = Random(f"hang/{seed}")
-    rows = boxes()
-    return make(
+    rows = servers()
+    return make_day(
         "hang",
         seed,
         rows=rows,
         rng=rng,
-        wants=["fault hang", "fault stall"],
+        required_cases=["fault hang", "fault stall"],
         script=[
             {"at_ms": 1200, "for_ms": 2500, "boxes": [rng.choice(of_role(rows, "write"))], "do": "hang"},
             {"at_ms": 2000, "for_ms": 2500, "boxes": [rng.choice(of_role(rows, "read"))], "do": "hang"},
@@ -154,14 +161,15 @@
 
 
 def fast_errors(seed):
+    """Servers answer at once with errors, or refuse all requests."""
     rng = Random(f"fast_errors/{seed}")
-    rows = boxes()
-    return make(
+    rows = servers()
+    return make_day(
         "fast-errors",
         seed,
         rows=rows,
         rng=rng,
-        wants=["fault errors", "end error"],
+        required_cases=["fault errors", "end error"],
         script=[
             {"at_ms": 1000, "for_ms": 3000, "boxes": [rng.choice(of_role(rows, "write"))], "do": "errors", "size": 0.9},
             {"at_ms": 2500, "for_ms": 2500, "boxes": [rng.choice(of_role(rows, "read"))], "do": "errors", "size": 0.9},
@@ -171,18 +179,18 @@
 
 
 def drain(seed):
-    """One box drains by the list, one by its own word, one is dropped from the list while it runs."""
+    """One server is listed as draining, one reports itself that it drains, and one leaves the list while it still runs."""
     rng = Random(f"drain/{seed}")
-    rows = boxes()
+    rows = servers()
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
-    return make(
+    return make_day(
         "drain",
         seed,
         rows=rows,
         rng=rng,
-        wants=["told that a box drains or is gone", "fault drain", "end refused"],
+        required_cases=["told that a box drains or is gone", "fault drain", "end refused"],
         script=[{"at_ms": 2500, "for_ms": 2000, "boxes": [wr[3]], "do": "drain"}],
-        lists=[
+        list_changes=[
             (1200 + rng.uniform(0, 300), wr[0], "draining", None),
             (1800, rd[0], "gone", None),
             (4500, wr[0], "ready", None),
@@ -192,38 +200,38 @@
 
 
 def cold(seed):
-    """Two boxes of a kind die and return cold; the list tells of the return."""
+    """Two decode servers and a prefill server crash and return in slow start; the list announces their return."""
     rng = Random(f"cold/{seed}")
-    rows = boxes(4, 5)
+    rows = servers(4, 5)
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
     away = rng.uniform(600, 1500)
-    lists = [(1500 + away + 20 + rng.uniform(0, 150), b, "ready", 1500 + away) for b in (wr[0], wr[1], rd[0])]
-    return make(
+    list_changes = [(1500 + away + 20 + rng.uniform(0, 150), b, "ready", 1500 + away) for b in (wr[0], wr[1], rd[0])]
+    return make_day(
         "returns-cold",
         seed,
         rows=rows,
         rng=rng,
         rate=30,
-        wants=["fault die", "up", "cold"],
+        required_cases=["fault die", "up", "cold"],
         script=[{"at_ms": 1500, "for_ms": away, "boxes": [wr[0], wr[1], rd[0]], "do": "die"}],
-        lists=[(1600, b, "gone", None) for b in (wr[0], wr[1], rd[0])] + lists,
+        list_changes=[(1600, b, "gone", None) for b in (wr[0], wr[1], rd[0])] + list_changes,
     )
 
 
 def lying_list(seed):
-    """The list names dead boxes ready, drops live ones, and is late with both."""
+    """The list shows crashed servers as ready, drops running ones, and is late with both."""
     rng = Random(f"lying_list/{seed}")
-    rows = boxes(3, 5)
-    rows[-1]["up"] = False  # listed, and never there
+    rows = servers(3, 5)
+    rows[-1]["up"] = False  # listed, but never running
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
-    return make(
+    return make_day(
         "list-lies",
         seed,
         rows=rows,
         rng=rng,
-        wants=["fault die", "told that a box drains or is gone"],
+        required_cases=["fault die", "told that a box drains or is gone"],
         script=[{"at_ms": 1500, "boxes": [wr[1]], "do": "die"}],
-        lists=[
+        list_changes=[
             (2000, wr[0], "gone", None),
             (2300, wr[2], "draining", None),
             (2300, rd[1], "gone", None),
@@ -238,27 +246,29 @@
 
 
 def gateway_killed(seed):
+    """One gateway is killed, the other ended by SIGTERM; both are started again."""
     rng = Random(f"gateway_killed/{seed}")
-    return make(
+    return make_day(
         "gateway-killed",
         seed,
         rng=rng,
-        wants=["tries at a killed gateway"],
-        fates=[(2000 + rng.uniform(0, 500), 0, "kill"), (2700, 0, "start"), (4200, 1, "term"), (5200, 1, "start")],
+        required_cases=["tries at a killed gateway"],
+        gateway_events=[(2000 + rng.uniform(0, 500), 0, "kill"), (2700, 0, "start"), (4200, 1, "term"), (5200, 1, "start")],
     )
 
 
 def overload(seed):
+    """More load than the servers can do; many clients ignore the retry-after."""
     rng = Random(f"overload/{seed}")
-    rows = boxes(2, 2, read_per_s=6000.0, slots=8, queue=6)
+    rows = servers(2, 2, read_per_s=6000.0, slots=8, queue=6)
     plans = calls(rng, 60, tokens=(20, 80))
     for plan in plans:
         plan.honour = rng.random() < 0.6
-    return make("overload", seed, rows=rows, rng=rng, plans=plans, wants=["final pushed back"])
+    return make_day("overload", seed, rows=rows, rng=rng, plans=plans, required_cases=["final pushed back"])
 
 
 def leavers(seed):
-    """Clients that go away at any point, some without a word, and some ask again at once with the same key."""
+    """Clients disconnect at any point; some repeat the call at once with the same key, others read slowly."""
     rng = Random(f"leavers/{seed}")
     plans = calls(rng, 25)
     for plan in plans:
@@ -266,25 +276,26 @@
             plan.leave_ms, plan.again = rng.uniform(5, 700), rng.random() < 0.7
         elif rng.random() < 0.1:
             plan.slow = True
-    return make("leavers", seed, rng=rng, plans=plans, wants=["final left", "end left"])
+    return make_day("leavers", seed, rng=rng, plans=plans, required_cases=["final left", "end left"])
 
 
 def several(seed):
-    """A writer hangs, answers get lost everywhere, a rack returns cold, and a gateway is killed, within seconds."""
+    """Within seconds a decode server hangs, answers get lost everywhere, two servers crash and return in slow start, and a
+    gateway is killed."""
     rng = Random(f"several/{seed}")
-    rows = boxes(4, 5, 1)
+    rows = servers(4, 5, 1)
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
     plans = calls(rng, 28)
     for plan in plans:
         if rng.random() < 0.1:
             plan.leave_ms, plan.again = rng.uniform(50, 600), True
-    return make(
+    return make_day(
         "several-at-once",
         seed,
         rows=rows,
         rng=rng,
         plans=plans,
-        wants=["fault hang", "fault lost", "tries at a killed gateway", "end lost"],
+        required_cases=["fault hang", "fault lost", "tries at a killed gateway", "end lost"],
         script=[
             {"at_ms": 1500, "for_ms": 2000, "boxes": [wr[0]], "do": "hang"},
             {"at_ms": 2000, "for_ms": 2500, "boxes": [*rd, *wr[2:]], "do": "lost", "size": 0.25},
@@ -292,28 +303,28 @@
             {"at_ms": 3000, "for_ms": 1500, "boxes": [wr[3]], "do": "slow", "size": 6},
             {"at_ms": 4800, "for_ms": 1200, "boxes": [rng.choice(rd)], "do": "garbage", "size": "bytes"},
         ],
-        lists=[
+        list_changes=[
             (2700, wr[1], "gone", None),
             (2700, rd[0], "gone", None),
             (3600, wr[1], "ready", 3500),
             (3600, rd[0], "ready", 3500),
         ],
-        fates=[(2600, 1, "kill"), (3300, 1, "start")],
+        gateway_events=[(2600, 1, "kill"), (3300, 1, "start")],
     )
 
 
 def garbage(seed):
-    """Boxes that answer what no server should: bytes, endless heads, endless lines, broken JSON."""
+    """Servers send invalid answers: random bytes, endless heads, endless lines, broken JSON."""
     rng = Random(f"garbage/{seed}")
-    rows = boxes(3, 5)
+    rows = servers(3, 5)
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
-    return make(
+    return make_day(
         "garbage",
         seed,
         rows=rows,
         rng=rng,
         rate=16,
-        wants=["fault garbage", "end garbage"],
+        required_cases=["fault garbage", "end garbage"],
         script=[
             {"at_ms": 1000 + 1000 * i, "for_ms": 900, "boxes": [box], "do": "garbage", "size": kind}
             for i, (box, kind) in enumerate(
@@ -324,20 +335,27 @@
 
 
 def sessions(seed):
-    """Half of the calls over twelve sessions whose links drop again and again, beside plain calls."""
+    """60% of the calls use twelve sessions whose connections break repeatedly; the rest are plain HTTP."""
     rng = Random(f"sessions/{seed}")
     plans = calls(rng, 25)
     for plan in plans:
         if rng.random() < 0.6:
             plan.session = rng.randrange(12)
-    cuts = [(rng.uniform(800, 6500), s, rng.choice([5, 50, 200, 800])) for s in range(12) for _ in range(4)]
-    return make("sessions", seed, rng=rng, plans=plans, cuts=sorted(cuts), wants=["tries over sessions", "sessions cut"])
+    session_drops = [(rng.uniform(800, 6500), s, rng.choice([5, 50, 200, 800])) for s in range(12) for _ in range(4)]
+    return make_day(
+        "sessions",
+        seed,
+        rng=rng,
+        plans=plans,
+        session_drops=sorted(session_drops),
+        required_cases=["tries over sessions", "sessions cut"],
+    )
 
 
 def sessions_in_trouble(seed):
-    """Sessions that drop while boxes die and hang, a gateway is killed and one drains."""
+    """Session connections break while servers crash and hang, one gateway is killed and the other drains."""
     rng = Random(f"sessions_in_trouble/{seed}")
-    rows = boxes(4, 5)
+    rows = servers(4, 5)
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
     plans = calls(rng, 25)
     for plan in plans:
@@ -345,41 +363,42 @@
             plan.session = rng.randrange(12)
         elif rng.random() < 0.1:
             plan.leave_ms, plan.again = rng.uniform(50, 600), True
-    cuts = [(rng.uniform(800, 6500), s, rng.choice([5, 50, 200])) for s in range(12) for _ in range(3)]
-    return make(
+    session_drops = [(rng.uniform(800, 6500), s, rng.choice([5, 50, 200])) for s in range(12) for _ in range(3)]
+    return make_day(
         "sessions-in-trouble",
         seed,
         rows=rows,
         rng=rng,
         plans=plans,
-        cuts=sorted(cuts),
-        wants=["tries over sessions", "sessions cut", "tries at a killed gateway", "fault hang"],
+        session_drops=sorted(session_drops),
+        required_cases=["tries over sessions", "sessions cut", "tries at a killed gateway", "fault hang"],
         script=[
             {"at_ms": 1500, "boxes": [wr[0]], "do": "die"},
             {"at_ms": 2500, "for_ms": 1500, "boxes": [wr[1]], "do": "hang"},
             {"at_ms": 3500, "for_ms": 2000, "boxes": [rd[0], wr[2]], "do": "lost", "size": 0.3},
         ],
-        fates=[(2200, 1, "kill"), (2900, 1, "start"), (4500, 0, "term"), (6200, 0, "start")],
+        gateway_events=[(2200, 1, "kill"), (2900, 1, "start"), (4500, 0, "term"), (6200, 0, "start")],
     )
 
 
 def moves(seed, plain=False):
-    """States are real bytes, and the paths between boxes crawl, damage, cut and hold what they carry. On both fronts."""
+    """Servers transfer real state bytes over paths that slow down, corrupt, cut and hold the transfers. Calls use HTTP and
+    sessions."""
     rng = Random(f"moves/{seed}")
-    rows = boxes(4, 5, state_bytes=1024, plain_moves=plain)
+    rows = servers(4, 5, state_bytes=1024, plain_moves=plain)
     rd = of_role(rows, "read")
     plans = calls(rng, 25)
     for plan in plans:
         if rng.random() < 0.3:
             plan.session = rng.randrange(6)
-    return make(
+    return make_day(
         "plain-moves" if plain else "moves",
         seed,
         rows=rows,
         rng=rng,
         plans=plans,
-        cuts=[(rng.uniform(1000, 6000), s, 50) for s in range(6)],
-        wants=["moved", "fault path_flip", "fault path_cut", "fault path_hold", "fault path_slow"],
+        session_drops=[(rng.uniform(1000, 6000), s, 50) for s in range(6)],
+        required_cases=["moved", "fault path_flip", "fault path_cut", "fault path_hold", "fault path_slow"],
         script=[
             {"at_ms": 800, "for_ms": 1800, "boxes": [rd[0], rd[1]], "do": "path_flip", "size": 0.15},
             {"at_ms": 2200, "for_ms": 1800, "boxes": [rd[1], rd[2]], "do": "path_cut", "size": 60},
@@ -392,27 +411,27 @@
 
 
 def plain_moves(seed):
-    """The same with plain moves: no resumption, first come first served. A baseline for `moves`."""
+    """The same with plain transfers: no resumption, first come first served. A baseline for `moves`."""
     return moves(seed, plain=True)
 
 
 def lying_records(seed, believing=False):
-    """Boxes are found by records alone. These lose most boxes, then the name server falls silent and answers garbage, while a writer
-    dies, a box drains by its record and another returns cold."""
+    """Servers are found by DNS records alone. The records lose most servers; then the name server stops answering and answers
+    garbage, while one decode server crashes and returns in slow start and another is marked as draining."""
     rng = Random(f"lying_records/{seed}")
-    rows = boxes(4, 5)
+    rows = servers(4, 5)
     rd, wr = of_role(rows, "read"), of_role(rows, "write")
-    at = rng.uniform(1200, 1600)
-    return make(
+    at_ms = rng.uniform(1200, 1600)
+    return make_day(
         "believing-records" if believing else "lying-records",
         seed,
         rows=rows,
         rng=rng,
         doubt_ms=1 if believing else 3000,
-        wants=["told that a box drains or is gone", "fault die"],
-        records=[
-            (at, "withdraw", [*rd[:3], *wr[1:4]]),
-            (at + 2200, "withdraw", []),
+        required_cases=["told that a box drains or is gone", "fault die"],
+        dns_steps=[
+            (at_ms, "withdraw", [*rd[:3], *wr[1:4]]),
+            (at_ms + 2200, "withdraw", []),
             (4600, "silent", True),
             (5600, "silent", False),
             (5600, "garbage", rng.choice(["bytes", "id", "question"])),
@@ -422,15 +441,16 @@
             {"at_ms": 2000, "for_ms": 1500, "boxes": [wr[4]], "do": "die"},
             {"at_ms": 5000, "for_ms": 1000, "boxes": [rd[3]], "do": "hang"},
         ],
-        lists=[(2100, wr[4], "gone", None), (3550, wr[4], "ready", 3500), (2700, wr[0], "draining", None)],
-    )  # named while its source is doubted, learned before it is silent
+        list_changes=[(2100, wr[4], "gone", None), (3550, wr[4], "ready", 3500), (2700, wr[0], "draining", None)],
+    )  # wr[0] is marked as draining while the records are not trusted, and read before the name server stops answering
 
 
 def believing_records(seed):
-    """The same with a gateway that believes its newest record. A baseline for `lying-records`."""
+    """The same with gateways that trust the newest records at once. A baseline for `lying-records`."""
     return lying_records(seed, believing=True)
 
 
+# By name, as the option --script has it.
 SCRIPTS = {
     day.__name__.replace("_", "-"): day
     for day in (
--- a/lapiswing/lab/status.py
+++ b/lapiswing/lab/status.py
@@ -1,8 +1,8 @@
-"""A listener of the HTTP client for those who only want an answer's status."""
+"""A listener of the HTTP client for callers that need only the status of a response."""
 
 
 class StatusOnly:
-    """`status` once the head is in, `over` once the answer has ended or failed."""
+    """`status` is set when the head has arrived, `over` when the response has ended or failed."""
 
     def __init__(self):
         self.status = self.over = None
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The auditor: rows laid by hand, and whole days with a gateway broken on purpose for each rule."""
+"""The audit: hand-written rows, and whole days with a gateway that breaks one of the rules on purpose."""
 
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
@@ -20,11 +20,11 @@
 
 
 def rows(text):
-    """'at ev field=value ...' a line -> rows; times are ms."""
+    """Parses lines '<ms> <event> field=value ...' into rows."""
     out = []
     for line in text.strip().splitlines():
-        at, ev, *fields = line.split()
-        row = {"t": int(float(at) * MS), "ev": ev}
+        at_ms, ev, *fields = line.split()
+        row = {"t": int(float(at_ms) * MS), "ev": ev}
         for field in fields:
             name, value = field.split("=")
             row[name] = (
@@ -36,8 +36,9 @@
     return out
 
 
-def broken(clients="", boxes="", runner=""):
-    found = audit(rows(clients), rows(boxes), rows(runner), LIMITS)
+def broken(clients="", servers="", runner=""):
+    """The numbers of the rules that the audit finds broken."""
+    found = audit(rows(clients), rows(servers), rows(runner), LIMITS)
     return [r.name[0] for r in found["rules"] if r.broken]
 
 
@@ -52,11 +53,11 @@
 
 
 def test_a_day_that_keeps_all_rules():
-    boxes = (
+    servers = (
         READ + WRITE.format(30, "w", 1) + TAKEN + "40 ran box=w name=lab-0-x.1.1 lab=c.1 key=None model=pay\n"
         "90 end box=w name=lab-0-x.1.1 lab=c.1 stage=write how=done\n"
     )
-    assert broken(TRY.format("pay") + END.format(95, "done", "True"), boxes) == []
+    assert broken(TRY.format("pay") + END.format(95, "done", "True"), servers) == []
 
 
 @pytest.mark.parametrize(
@@ -79,7 +80,7 @@
     clients = TRY.format("order") + END.format(300, "cut", "None")
     clients += TRY.format("order").replace("0 try", "380 try").replace("n=1 gateway=0", "n=2 gateway=1")
     clients += END.format(600, "done", "True").replace("n=1", "n=2")
-    later = WRITE.format(400, "w", 1).replace("lab-0", "lab-1")  # of the same call's next try
+    later = WRITE.format(400, "w", 1).replace("lab-0", "lab-1")  # belongs to the next try of the same call
     assert broken(clients, later, "10 stopped gateway=0") == broken(clients, "", "10 stopped gateway=0") == []
     assert broken(clients, WRITE.format(200, "w", 1), "10 stopped gateway=0") == ["1"]
     assert broken(clients, later, "200 stopped gateway=0") == ["1"]
@@ -98,9 +99,9 @@
     twice = WRITE.format(30, "w", 1) + WRITE.format(60, "v", 2)
     assert broken(TRY.format("pay") + end, twice + refused) == []
     assert broken(TRY.format("pay") + end, twice + lost) == ["2"]
-    assert broken(TRY.format("pay") + end, twice) == ["2"]  # hung: nobody knows
-    back = END.format(500, "pushed_back", "None")
-    assert broken(TRY.format("pay") + back, WRITE.format(30, "w", 1) + lost) == ["2"]
+    assert broken(TRY.format("pay") + end, twice) == ["2"]  # no end is known: it may have taken effect
+    rejected = END.format(500, "pushed_back", "None")
+    assert broken(TRY.format("pay") + rejected, WRITE.format(30, "w", 1) + lost) == ["2"]
 
 
 def test_rule_2_keyed():
@@ -113,21 +114,21 @@
 
 
 def test_rule_3():
-    told = "100 list box=w mode=draining started=False\n"
-    assert broken("", WRITE.format(1200, "w", 1), told) == []
-    assert broken("", WRITE.format(1300, "w", 1), told) == ["3"]
-    assert broken("", WRITE.format(1300, "w", 1), told + "1250 list box=w mode=ready started=False") == []
-    own = "100 end box=w name=lab-0-x.0.1 lab=b stage=write how=refused why=draining\n"
-    assert broken("", own + WRITE.format(1300, "w", 1)) == ["3"]
-    assert broken("", own + WRITE.format(1300, "w", 1).replace("lab-0", "lab-1")) == []  # another gateway
+    listed = "100 list box=w mode=draining started=False\n"
+    assert broken("", WRITE.format(1200, "w", 1), listed) == []
+    assert broken("", WRITE.format(1300, "w", 1), listed) == ["3"]
+    assert broken("", WRITE.format(1300, "w", 1), listed + "1250 list box=w mode=ready started=False") == []
+    refused = "100 end box=w name=lab-0-x.0.1 lab=b stage=write how=refused why=draining\n"
+    assert broken("", refused + WRITE.format(1300, "w", 1)) == ["3"]
+    assert broken("", refused + WRITE.format(1300, "w", 1).replace("lab-0", "lab-1")) == []  # another gateway
 
 
 def test_rule_4():
-    up, told = "100 up box=w cold=True\n", "110 list box=w mode=ready started=True\n"
+    up, listed = "100 up box=w cold=True\n", "110 list box=w mode=ready started=True\n"
     sends = "".join(WRITE.format(500 + i, "w", i) for i in range(9))
     fell = "510 fell box=w sent=9 budget=5\n"
-    assert broken("", up + sends + fell, told) == ["4"]
-    assert broken("", up + sends + fell, told.replace("110", "505")) == []  # nobody had been told
+    assert broken("", up + sends + fell, listed) == ["4"]
+    assert broken("", up + sends + fell, listed.replace("110", "505")) == []  # not listed as started before
 
 
 def test_rule_5():
@@ -135,12 +136,12 @@
     late = "700 let_go box=r name=lab-0-x.1.0 lab=c.1 how=released\n"
     assert broken("", READ + late) == ["5"]
     out = WRITE.format(200, "w", 1) + "650 end box=w name=lab-0-x.1.1 lab=c.1 stage=write how=left\n"
-    assert broken("", READ + late + out) == []  # a forward was out
+    assert broken("", READ + late + out) == []  # an attempt was in progress
     assert broken("", READ + late, "300 killed gateway=0") == []
     assert broken("", READ + "400 down box=r\n" + late) == []
 
 
-def test_service_counts_importance_in_time():
+def test_service_counts_priority_answered_in_time():
     text = "".join(f"0 call call=c{i} model=m target_ms=100 importance={i} late=0 deadline_ms=9\n" for i in (1, 2, 3))
     text += "50 first call=c1 n=1 ms=50\n60 over call=c1 how=done\n200 first call=c2 n=1 ms=200\n"
     text += "300 over call=c2 how=done\n10 over call=c3 how=left\n"
@@ -161,30 +162,36 @@
                 "for_ms": 5000,
                 "do": "lost",
                 "size": 0.6,
-                "boxes": [b["id"] for b in day.boxes if b["role"] == "write"],
+                "boxes": [b["id"] for b in day.server_specs if b["role"] == "write"],
             }
         ],
-        fates=[],
-        lists=[],
-        wants=[],
+        gateway_events=[],
+        list_changes=[],
+        required_cases=[],
     )
 
 
 def rushes(seed):
     day = cold(seed)
     return replace(
-        day, boxes=[{**b, "rate": 8.0, "slack": 16.0} for b in day.boxes]
-    )  # falls when it is pushed on after the list has told
+        day, server_specs=[{**b, "rate": 8.0, "slack": 16.0} for b in day.server_specs]
+    )  # overloaded if the load continues after the list has announced its start
 
 
-BROKEN = [("loses", loses, "1"), ("doubles", doubles, "2"), ("deaf", drain, "3"), ("rushes", rushes, "4"), ("pins", quiet, "5")]
+BREAKING_ROUTERS = [
+    ("loses", loses, "1"),
+    ("doubles", doubles, "2"),
+    ("deaf", drain, "3"),
+    ("rushes", rushes, "4"),
+    ("pins", quiet, "5"),
+]
 
 
-def test_each_gateway_broken_on_purpose_is_found_out_and_the_module_is_not():
+def test_each_breaking_router_is_detected_and_the_real_one_passes():
     with ProcessPoolExecutor(3) as pool:
-        jobs = [(make, 1, router, None) for router, make, _ in BROKEN] + [(quiet, 1, "module", None)]
-        *bad, kept = list(pool.map(play_one, jobs))
-    for (router, _, rule), result in zip(BROKEN, bad):
+        jobs = [(make, 1, router, None) for router, make, _ in BREAKING_ROUTERS] + [(quiet, 1, "module", None)]
+        *violating, correct = list(pool.map(play_one, jobs))
+    for (router, _, rule), result in zip(BREAKING_ROUTERS, violating):
         assert not isinstance(result, str), result
         assert rule in [r["rule"][0] for r in result["rules"] if r["broken"]], (router, result["rules"])
-    assert passed(kept), kept
+    assert passed(correct), correct
