--- a/lapiswing/lab/coldfleet.py
+++ b/lapiswing/lab/coldfleet.py
@@ -41,15 +41,15 @@
 def heaviest_window(sent, allowed):
     """Returns (share of the bound, work, N) of the window in which a cold server was sent the most relative to its bound. `sent`:
     (time, work) in order; `allowed(us)`: N of the window that ends at that time."""
-    first, work, heaviest = 0, 0.0, (0.0, 0.0, 0.0)
+    first, work, worst = 0, 0.0, (0.0, 0.0, 0.0)
     for at, one_work in sent:
         work += one_work
         while sent[first][0] <= at - RULES["overload_for_us"]:
             work -= sent[first][1]
             first += 1
         n = allowed(at)
-        heaviest = max(heaviest, (work / bound(n), work, n))
-    return heaviest
+        worst = max(worst, (work / bound(n), work, n))
+    return worst
 
 
 class Sink:
--- a/lapiswing/lab/gateway.py
+++ b/lapiswing/lab/gateway.py
@@ -15,7 +15,7 @@
     gateway = Gateway(
         settings, start_logs(settings.log.level, settings.log.format), base=str(Path(sys.argv[2]).parent), router=router
     )
-    gateway.core.guards.only_counts = True  # the guards must not prevent violations that the audit has to see
+    gateway.core.guards.count_only = True  # the guards must not prevent violations that the audit has to see
     if getattr(router, "without_backstop", False):
         gateway.core.backstop_due = lambda req: None
     run_gateway(gateway)
