--- a/lapiswing/lab/audit.py
+++ b/lapiswing/lab/audit.py
@@ -44,6 +44,7 @@
     broken: list = field(default_factory=list)
 
     def add_case(self, figure):
+        """Counts a case with this figure."""
         self.cases += 1
         self.worst = max(self.worst, figure)
 
@@ -52,41 +53,41 @@
     """Returns {"rules": [Rule], "seen": {case: count}}. `seen` shows whether a day had the cases that it is meant to test."""
     tries = {(r["call"], r["n"]): r for r in client_rows if r["ev"] == "try"}
     finals, firsts = defaultdict(list), {}
-    for r in client_rows:
-        if r["ev"] == "final":
-            finals[r["call"], r["n"]].append(r)
-        elif r["ev"] == "first":
-            firsts[r["call"], r["n"]] = r["t"]
+    for row in client_rows:
+        if row["ev"] == "final":
+            finals[row["call"], row["n"]].append(row)
+        elif row["ev"] == "first":
+            firsts[row["call"], row["n"]] = row["t"]
     kills = defaultdict(list)
-    for r in runner_rows:
-        if r["ev"] == "killed":
-            kills[r["gateway"]].append(r["t"])
+    for row in runner_rows:
+        if row["ev"] == "killed":
+            kills[row["gateway"]].append(row["t"])
     by_name = defaultdict(list)  # attempt name -> its rows at servers
     by_lab = defaultdict(list)  # label of a call -> its rows at servers
-    for r in server_rows:
-        if r.get("name"):
-            by_name[r["name"]].append(r)
-        if r.get("lab"):
-            by_lab[r["lab"]].append(r)
+    for row in server_rows:
+        if row.get("name"):
+            by_name[row["name"]].append(row)
+        if row.get("lab"):
+            by_lab[row["lab"]].append(row)
     seen = defaultdict(int)
-    for r in server_rows:
-        seen[r["ev"]] += 1
-        if r["ev"] == "fault":
-            seen["fault " + r["do"]] += 1
-        if r["ev"] == "end":
-            seen["end " + r["how"]] += 1
+    for row in server_rows:
+        seen[row["ev"]] += 1
+        if row["ev"] == "fault":
+            seen["fault " + row["do"]] += 1
+        if row["ev"] == "end":
+            seen["end " + row["how"]] += 1
     for rows in finals.values():
-        for r in rows:
-            seen["final " + r["how"]] += 1
-    for r in client_rows:
-        if r["ev"] == "try" and r.get("front") == "session":
+        for row in rows:
+            seen["final " + row["how"]] += 1
+    for row in client_rows:
+        if row["ev"] == "try" and row.get("front") == "session":
             seen["tries over sessions"] += 1
     seen["sessions cut"] = sum(r["ev"] == "cut" for r in runner_rows)
     # A call that is sent at the moment when its drained gateway's process ends was not accepted.
     stops = defaultdict(list)
-    for r in runner_rows:
-        if r["ev"] == "stopped":
-            stops[r["gateway"]].append(r["t"])
+    for row in runner_rows:
+        if row["ev"] == "stopped":
+            stops[row["gateway"]].append(row["t"])
     for key, row in tries.items():
         end = max((r["t"] for r in finals.get(key, ())), default=row["t"])
         if any(t - 50 * MS <= row["t"] <= t + 50 * MS for t in stops[row["gateway"]]) and not any(
@@ -105,6 +106,7 @@
 
 
 def was_killed(kills, gateway, start, end):
+    """Whether the gateway was killed between the two times."""
     return any(start <= t <= end for t in kills.get(gateway, ()))
 
 
@@ -163,8 +165,8 @@
         # Gateways share no state: the client repeats calls of a killed or drained gateway within the window, so each gateway
         # process is checked only against the attempts that it sent itself.
         keyed = effect == "KEYED"
-        for r in ran:
-            effects_of[call, gateway_of(r["name"])[1] if keyed else ""] += 1
+        for row in ran:
+            effects_of[call, gateway_of(row["name"])[1] if keyed else ""] += 1
         if not sends:
             continue
         seen["effects " + effect] += len(ran)
@@ -172,26 +174,30 @@
         # All attempts that may have taken effect; a refusal by the server shows that an attempt did not.
         uncertain = [r for r in sends if ends.get(r["name"], {}).get("how") != "refused"]
 
-        def place(r):
-            return limits.place[r["box"]].get(scope.lower()) if scope != "ALL" else None
+        def place(attempt):
+            return limits.place[attempt["box"]].get(scope.lower()) if scope != "ALL" else None
 
-        for _i, r in enumerate(sends):
+        for _i, attempt in enumerate(sends):
             before = [
-                u for u in uncertain if u["t"] < r["t"] and (not keyed or gateway_of(u["name"])[1] == gateway_of(r["name"])[1])
+                u
+                for u in uncertain
+                if u["t"] < attempt["t"] and (not keyed or gateway_of(u["name"])[1] == gateway_of(attempt["name"])[1])
             ]
             if before and effect == "NON_REPLAYABLE":
-                rule.broken.append(f"{lab}: attempt {r['name']} though {before[0]['name']} may have run")
+                rule.broken.append(f"{lab}: attempt {attempt['name']} though {before[0]['name']} may have run")
             elif before and effect == "KEYED":
                 seen["keyed again"] += 1
-                if any(place(u) != place(r) for u in before):
-                    rule.broken.append(f"{lab}: {r['name']} goes outside the scope in which servers drop repeats")
-                if r["t"] - before[0]["t"] > window * MS:
-                    rule.broken.append(f"{lab}: {r['name']} comes {(r['t'] - before[0]['t']) // MS} ms after the first")
+                if any(place(u) != place(attempt) for u in before):
+                    rule.broken.append(f"{lab}: {attempt['name']} goes outside the scope in which servers drop repeats")
+                if attempt["t"] - before[0]["t"] > window * MS:
+                    rule.broken.append(
+                        f"{lab}: {attempt['name']} comes {(attempt['t'] - before[0]['t']) // MS} ms after the first"
+                    )
         for call, n, row in labs[lab]:
             for end in finals.get((call, n), ()):
-                mine = [u for u in uncertain if row["t"] <= u["t"] <= end["t"]]
-                if end["how"] == "pushed back" and mine and (effect == "NON_REPLAYABLE" or scope != "ALL"):
-                    rule.broken.append(f"{lab}: rejected though {mine[0]['name']} may have run")
+                during_try = [u for u in uncertain if row["t"] <= u["t"] <= end["t"]]
+                if end["how"] == "pushed back" and during_try and (effect == "NON_REPLAYABLE" or scope != "ALL"):
+                    rule.broken.append(f"{lab}: rejected though {during_try[0]['name']} may have run")
     for (call, _), n in effects_of.items():
         rule.add_case(n)
         if n > 1:
@@ -210,35 +216,37 @@
     """Rule 3. Worst: ms from the list's change to the last new attempt that arrived at a server listed as draining or gone."""
     rule = Rule("3 drains kept", "ms", limit=limits.grace_ms)
     unavailable = defaultdict(list)  # server -> [(from, to)] in which the list says draining or gone
-    for r in sorted((r for r in runner_rows if r["ev"] == "list"), key=lambda r: r["t"]):
-        spans = unavailable[r["box"]]
-        if r["mode"] == "ready":
+    for row in sorted((r for r in runner_rows if r["ev"] == "list"), key=lambda r: r["t"]):
+        spans = unavailable[row["box"]]
+        if row["mode"] == "ready":
             if spans and spans[-1][1] is None:
-                spans[-1] = (spans[-1][0], r["t"])
+                spans[-1] = (spans[-1][0], row["t"])
         elif not spans or spans[-1][1] is not None:
-            spans.append((r["t"], None))
+            spans.append((row["t"], None))
     for spans in unavailable.values():
         rule.cases += len(spans)
         seen["told that a box drains or is gone"] += len(spans)
     refused = defaultdict(dict)  # server -> gateway process -> when a refusal first told it that the server drains
-    for r in sorted((r for r in server_rows if r["ev"] in ("arrive", "end", "up", "undrain")), key=lambda r: r["t"]):
-        if r["ev"] in ("up", "undrain"):
-            refused[r["box"]].clear()
-        elif r["ev"] == "end" and r["how"] == "refused" and r.get("why") == "draining":
-            refused[r["box"]].setdefault(gateway_of(r["name"])[1], r["t"])
-        elif r["ev"] == "arrive":
-            since = refused[r["box"]].get(gateway_of(r["name"])[1])
+    for row in sorted((r for r in server_rows if r["ev"] in ("arrive", "end", "up", "undrain")), key=lambda r: r["t"]):
+        if row["ev"] in ("up", "undrain"):
+            refused[row["box"]].clear()
+        elif row["ev"] == "end" and row["how"] == "refused" and row.get("why") == "draining":
+            refused[row["box"]].setdefault(gateway_of(row["name"])[1], row["t"])
+        elif row["ev"] == "arrive":
+            since = refused[row["box"]].get(gateway_of(row["name"])[1])
             if since is not None:
-                rule.add_case((r["t"] - since) / MS)
-                if r["t"] - since > (limits.grace_ms + limits.slack_ms) * MS:
-                    rule.broken.append(f"{r['name']} to {r['box']} {(r['t'] - since) // MS} ms after it said that it drains")
-            for start, end in unavailable.get(r["box"], ()):
-                if start <= r["t"] and (end is None or r["t"] < end):
+                rule.add_case((row["t"] - since) / MS)
+                if row["t"] - since > (limits.grace_ms + limits.slack_ms) * MS:
+                    rule.broken.append(
+                        f"{row['name']} to {row['box']} {(row['t'] - since) // MS} ms after it said that it drains"
+                    )
+            for start, end in unavailable.get(row["box"], ()):
+                if start <= row["t"] and (end is None or row["t"] < end):
                     seen["arrivals while told"] += 1
-                    since_ms = (r["t"] - start) / MS
+                    since_ms = (row["t"] - start) / MS
                     rule.worst = max(rule.worst, since_ms)
                     if since_ms > limits.grace_ms + limits.poll_ms + limits.slack_ms:
-                        rule.broken.append(f"{r['name']} to {r['box']} {since_ms:.0f} ms after the list said so")
+                        rule.broken.append(f"{row['name']} to {row['box']} {since_ms:.0f} ms after the list said so")
     return rule
 
 
@@ -247,32 +255,34 @@
     in slow start."""
     rule = Rule("4 cold boxes not pushed over", "of budget", limit=1.0)
     listed = defaultdict(list)  # server -> when the list gave a new start time
-    for r in runner_rows:
-        if r["ev"] == "list" and r.get("started"):
-            listed[r["box"]].append(r["t"])
+    for row in runner_rows:
+        if row["ev"] == "list" and row.get("started"):
+            listed[row["box"]].append(row["t"])
     starts = defaultdict(list)
-    for r in server_rows:
-        if r["ev"] == "up" and r.get("cold"):
-            starts[r["box"]].append(r["t"])
+    for row in server_rows:
+        if row["ev"] == "up" and row.get("cold"):
+            starts[row["box"]].append(row["t"])
     counted = set()
-    for r in server_rows:
-        if r["ev"] not in ("cold", "fell"):
+    for row in server_rows:
+        if row["ev"] not in ("cold", "fell"):
             continue
-        start = max((t for t in starts[r["box"]] if t <= r["t"]), default=None)
-        known = min((t for t in listed[r["box"]] if start is not None and t >= start - 50 * MS), default=None)
-        informed = known is not None and r["t"] >= known + limits.poll_ms * MS
-        if r["ev"] == "cold" and informed:
-            if (r["box"], start) not in counted:
-                counted.add((r["box"], start))
+        start = max((t for t in starts[row["box"]] if t <= row["t"]), default=None)
+        known = min((t for t in listed[row["box"]] if start is not None and t >= start - 50 * MS), default=None)
+        informed = known is not None and row["t"] >= known + limits.poll_ms * MS
+        if row["ev"] == "cold" and informed:
+            if (row["box"], start) not in counted:
+                counted.add((row["box"], start))
                 rule.cases += 1
-            rule.worst = max(rule.worst, r["part"])
-        elif r["ev"] == "fell":
+            rule.worst = max(rule.worst, row["part"])
+        elif row["ev"] == "fell":
             window = [
-                a for a in server_rows if a["ev"] == "arrive" and a["box"] == r["box"] and r["t"] - 1000 * MS <= a["t"] <= r["t"]
+                a
+                for a in server_rows
+                if a["ev"] == "arrive" and a["box"] == row["box"] and row["t"] - 1000 * MS <= a["t"] <= row["t"]
             ]
             after = [a for a in window if known is not None and a["t"] >= known + limits.poll_ms * MS]
             if len(after) * 3 >= len(window) * 2:
-                rule.broken.append(f"{r['box']} was overloaded: {r['sent']} sent, budget {r['budget']}")
+                rule.broken.append(f"{row['box']} was overloaded: {row['sent']} sent, budget {row['budget']}")
             else:
                 seen["fell before it was listed"] += 1
     return rule
@@ -282,16 +292,16 @@
     """Rule 5. Cases: states after a prefill. Worst: ms for which one was held while no attempt of its request was in progress."""
     rule = Rule("5 nothing pinned", "ms", limit=limits.let_go_ms)
     end_of_day = max((r["t"] for r in server_rows), default=0)
-    downs = defaultdict(list)
-    for r in server_rows:
-        if r["ev"] == "down":
-            downs[r["box"]].append(r["t"])
+    crash_times = defaultdict(list)
+    for row in server_rows:
+        if row["ev"] == "down":
+            crash_times[row["box"]].append(row["t"])
     for state in server_rows:
         if state["ev"] != "state":
             continue
         # A release counts once it has reached the server's socket, also if the server hangs and does not act on it yet.
         ends = [r for r in by_name[state["name"]] if r["ev"] in ("let_go", "release") and r["t"] >= state["t"]]
-        crashes = [t for t in downs[state["box"]] if t >= state["t"]]
+        crashes = [t for t in crash_times[state["box"]] if t >= state["t"]]
         end = min([end_of_day, *crashes, *(r["t"] for r in ends)])
         gateway, _process = gateway_of(state["name"])
         if was_killed(kills, gateway, state["t"] - 1000 * MS, end + 10 * MS):
@@ -300,10 +310,10 @@
         # An attempt of the request, the prefill included, is in progress from its arrival at the server to its end there.
         rid = state["name"].rsplit(".", 1)[0]
         attempts = []
-        for r in by_lab.get(state["lab"], ()) if state["lab"] else by_name[state["name"]]:
-            if r["ev"] == "arrive" and r["name"].rsplit(".", 1)[0] == rid:
-                end_times = [e["t"] for e in by_name[r["name"]] if e["ev"] == "end"]
-                attempts.append((r["t"], min(end_times, default=end_of_day)))
+        for row in by_lab.get(state["lab"], ()) if state["lab"] else by_name[state["name"]]:
+            if row["ev"] == "arrive" and row["name"].rsplit(".", 1)[0] == rid:
+                end_times = [e["t"] for e in by_name[row["name"]] if e["ev"] == "end"]
+                attempts.append((row["t"], min(end_times, default=end_of_day)))
         idle_us, idle_since = 0, state["t"]
         for arrived, ended in sorted(attempts):
             if arrived > idle_since:
@@ -320,19 +330,19 @@
     """Returns the service figure and the number of calls by how they ended. The figure is the priority of the calls answered
     within their TTFT target, divided by that of all calls; a later answer counts with its late share."""
     calls = {r["call"]: r for r in client_rows if r["ev"] == "call"}
-    first, ends = {}, {}
-    for r in client_rows:
-        if r["ev"] == "first":
-            first.setdefault(r["call"], r["ms"])
-        elif r["ev"] == "over":
-            ends[r["call"]] = r["how"]
+    first_ms, ends = {}, {}
+    for row in client_rows:
+        if row["ev"] == "first":
+            first_ms.setdefault(row["call"], row["ms"])
+        elif row["ev"] == "over":
+            ends[row["call"]] = row["how"]
     requested = earned = 0.0
-    for call, r in calls.items():
+    for call, row in calls.items():
         if ends.get(call) == "left":
             continue  # the client did not wait for the answer
-        requested += r["importance"]
-        if ends.get(call) == "done" and call in first:
-            earned += r["importance"] * (1.0 if first[call] <= r["target_ms"] else r["late"])
+        requested += row["importance"]
+        if ends.get(call) == "done" and call in first_ms:
+            earned += row["importance"] * (1.0 if first_ms[call] <= row["target_ms"] else row["late"])
     counts = defaultdict(int)
     for how in ends.values():
         counts[how] += 1
--- a/lapiswing/lab/clients.py
+++ b/lapiswing/lab/clients.py
@@ -37,6 +37,7 @@
         self.send_try()
 
     def left_us(self):
+        """Time left until the deadline of the whole call."""
         return self.started_us + self.plan.deadline_ms * MS - self.workload.loop.clock.now_us()
 
     def send_try(self):
@@ -50,6 +51,7 @@
             SessionTry(self, self.workload.session(self.plan.session))
 
     def end(self, how):
+        """Ends the call for good."""
         if not self.over:
             self.over = True
             self.workload.record.put("over", call=self.plan.id, how=how)
@@ -119,11 +121,13 @@
         self.workload.record.put(ev, call=self.plan.id, n=self.n, **fields)
 
     def give_up(self):
+        """No first token before the client's deadline."""
         if not self.begun and not self.over:
             self.cancel()
             self.finish("gave up")
 
     def leave(self):
+        """The client disconnects, as its plan says."""
         if not self.over:
             self.cancel()
             self.finish("left")
@@ -140,6 +144,7 @@
                 self.text.append(content)
 
     def begin(self):
+        """The first token has arrived."""
         self.begun = True
         self.timer.cancel()
         self.put("first", ms=(self.workload.loop.clock.now_us() - self.client.started_us) // MS)
@@ -311,6 +316,7 @@
         return self.up_us is not None and self.workload.loop.clock.now_us() - self.up_us > 500 * MS
 
     def call(self, session_try):
+        """Sends a try, or keeps it until the session is connected."""
         if self.up_us is None:
             self.waiting.append(session_try)
             return
@@ -319,6 +325,7 @@
         self.send_message(type="call", id=session_try.id, body=session_try.body, headers=session_try.headers)
 
     def cancel(self, session_try):
+        """Cancels a try."""
         self.tries.pop(session_try.id, None)
         if session_try in self.waiting:
             self.waiting.remove(session_try)
@@ -326,6 +333,7 @@
             self.send_message(type="cancel", id=session_try.id)
 
     def on_data(self, data):
+        """Parses WebSocket frames."""
         try:
             self.frames.receive_data(data)
             for event in self.frames.events():
@@ -345,6 +353,7 @@
             self.stream.abort()
 
     def handle_message(self, message):
+        """Handles one message of the session protocol."""
         kind = message["type"]
         if kind == "session":
             self.token, self.up_us = message["token"], self.workload.loop.clock.now_us()
@@ -397,14 +406,17 @@
         self.gateways, self.running, self.sessions = day.gateways, len(day.calls), {}
 
     def session(self, number):
+        """The session with this number, opened on first use."""
         if number not in self.sessions:
             self.sessions[number] = LabSession(self, number, number % self.gateways)
         return self.sessions[number]
 
     def drop_session(self, number, away_ms):
+        """Breaks the connection of a session for `away_ms`."""
         if number in self.sessions:
             self.sessions[number].drop(away_ms)
 
     def play(self, calls, t0_us):
+        """Schedules all calls."""
         for plan in calls:
             self.loop.call_at(t0_us + round(plan.at_ms * MS), Client, self, plan)
--- a/lapiswing/lab/coldfleet.py
+++ b/lapiswing/lab/coldfleet.py
@@ -63,15 +63,15 @@
         self.fleet.attempt(self.gateway, rid, number, server, timeout_us)
 
     def retract(self, rid, number):
-        if self.fleet.out.pop((self.gateway, rid, number), None) is not None:
-            self.fleet.tell(
+        if self.fleet.open_attempts.pop((self.gateway, rid, number), None) is not None:
+            self.fleet.schedule_router_event(
                 0,
                 self.gateway,
                 (
                     "outcome",
                     rid,
                     number,
-                    self.fleet.where[self.gateway, rid, number],
+                    self.fleet.server_of[self.gateway, rid, number],
                     "cancelled",
                     0,
                     False,
@@ -81,7 +81,7 @@
             )
 
     def timer(self, after_us, token):
-        self.fleet.tell(after_us, self.gateway, ("timer", token))
+        self.fleet.schedule_router_event(after_us, self.gateway, ("timer", token))
 
     def push_back(self, rid, retry_after_us):
         self.fleet.rejected(self.gateway, rid)
@@ -118,12 +118,13 @@
         self.roles = {s: {"r": "read", "w": "write", "m": "both"}[s[0]] for s in self.servers}
         self.cold = {
             s
-            for role, part in case["cold"].items()
+            for role, share in case["cold"].items()
             for i, s in enumerate([s for s in self.servers if s[0] == role])
-            if i < round(part * case["kinds"][role])
+            if i < round(share * case["kinds"][role])
         }
-        self.busy = dict.fromkeys(self.servers, 0.0)  # when the work that a server has accepted will be done
-        self.out, self.where, self.reqs = {}, {}, {}  # open attempts, servers of all attempts, contents of requests
+        self.busy_until = dict.fromkeys(self.servers, 0.0)
+        # Servers by (gateway, request id, attempt number); contents by (gateway, request id).
+        self.open_attempts, self.server_of, self.reqs = {}, {}, {}
         self.served = set()  # (gateway, request id)
         self.arrivals, self.original_requests = [], 0  # arrivals: (us, server, work, gateway knows of the restart)
         n = case["gateways"]
@@ -141,20 +142,20 @@
         writes = [s for s in self.servers if s[0] == "w"]
         self.rate = {s: case["rate"] * (1.0 if s[0] != "w" else len(reads) / len(writes)) for s in self.servers}
         self.arrivals_per_s = case["load"] * case["rate"] * len(reads)
-        at = 0.0
-        while at < END_US:
-            factor = case["burst"] if START_US <= at < START_US + 3 * S else 1.0
-            at += self.rng.exponential(S / (self.arrivals_per_s * factor))
-            self.push(int(at), ("arrive",))
+        at_us = 0.0
+        while at_us < END_US:
+            factor = case["burst"] if START_US <= at_us < START_US + 3 * S else 1.0
+            at_us += self.rng.exponential(S / (self.arrivals_per_s * factor))
+            self.push(int(at_us), ("arrive",))
         self.push(START_US, ("restart",))
 
     def push(self, at_us, event):
         """Schedules an event of the simulation: (method name, *arguments)."""
         heapq.heappush(self.events, (at_us, next(self.order), event))
 
-    def tell(self, after_us, gateway, event):
+    def schedule_router_event(self, after_us, gateway, event):
         """Schedules an event for a Router."""
-        self.push(self.now + int(after_us), ("tell", gateway, event))
+        self.push(self.now + int(after_us), ("router_event", gateway, event))
 
     def rows(self, restarted):
         """The server list; servers in `restarted` have the new start time."""
@@ -204,7 +205,7 @@
         tokens = max(20, int(1000 * content.work))
         self.reqs[gateway, rid] = (content, retried is not None)
         self.original_requests += retried is None
-        self.tell(
+        self.schedule_router_event(
             0,
             gateway,
             (
@@ -224,6 +225,7 @@
         )
 
     def prefix(self):
+        """Draws the prefix of a request."""
         return "hot" if self.rng.random() < self.case["hot"] else f"p{self.rng.integers(40)}"
 
     def rejected(self, gateway, rid):
@@ -236,35 +238,35 @@
         """An attempt arrives at a server; schedules how it ends."""
         work, role = self.reqs[gateway, rid][0].work, self.roles[server]
         key = gateway, rid, number
-        self.out[key] = self.where[key] = server
+        self.open_attempts[key] = self.server_of[key] = server
         knows_restart = gateway not in self.late or self.now >= START_US + 1500 * MS
         self.arrivals.append((self.now, server, work if role != "write" else 1.0, knows_restart))
         if self.rng.random() < self.case["failing"]:
             return self.push(self.now + 20 * MS, ("end", key, "error", 20 * MS))
         rate = self.rate[server] * (self.level(self.now) if server in self.cold and self.now >= START_US else 1.0)
-        begin_us = max(self.now, self.busy[server])
+        begin_us = max(self.now, self.busy_until[server])
         if begin_us - self.now > 1500 * MS:
             return self.push(self.now + 2 * MS, ("end", key, "full", 2 * MS))
         service_us = S * (work if role != "write" else 1.0) / rate
-        self.busy[server] = begin_us + service_us
-        latency_us = self.busy[server] - self.now + 5 * MS
+        self.busy_until[server] = begin_us + service_us
+        latency_us = self.busy_until[server] - self.now + 5 * MS
         if latency_us > timeout_us:
             return self.push(self.now + timeout_us, ("end", key, "timed_out", timeout_us))
         self.push(int(self.now + latency_us), ("end", key, "read" if role == "read" else "first", latency_us))
 
     def end(self, key, code, latency_us):
         """An attempt ends, or its first token arrives."""
-        if key not in self.out:
+        if key not in self.open_attempts:
             return
         gateway, rid, number = key
-        server, latency_us = self.out[key], int(latency_us)
+        server, latency_us = self.open_attempts[key], int(latency_us)
         if code == "first":
-            self.tell(0, gateway, ("first", rid, server, latency_us, number))
+            self.schedule_router_event(0, gateway, ("first", rid, server, latency_us, number))
             return self.push(self.now + 300 * MS, ("end", key, "done", latency_us + 300 * MS))
-        del self.out[key]
+        del self.open_attempts[key]
         if code == "done":
             self.served.add((gateway, rid))
-        self.tell(0, gateway, ("outcome", rid, number, server, code, latency_us, code == "done", 0, None))
+        self.schedule_router_event(0, gateway, ("outcome", rid, number, server, code, latency_us, code == "done", 0, None))
 
     def restart(self):
         """The cold servers have restarted: starts the fresh Routers and informs the others."""
@@ -272,18 +274,18 @@
             if router is None:
                 self.start(i, self.cold)
             elif i not in self.late:
-                self.tell(0, i, ("servers", "update", [r for r in self.rows(self.cold) if r.id in self.cold]))
+                self.schedule_router_event(0, i, ("servers", "update", [r for r in self.rows(self.cold) if r.id in self.cold]))
             else:
                 self.push(
                     self.now + 1500 * MS,
-                    ("tell", i, ("servers", "update", [r for r in self.rows(self.cold) if r.id in self.cold])),
+                    ("router_event", i, ("servers", "update", [r for r in self.rows(self.cold) if r.id in self.cold])),
                 )
 
     def play(self):
         """Runs the simulation to its end. Returns itself."""
         while self.events and self.events[0][0] < END_US:
             self.now, _, step = heapq.heappop(self.events)
-            if step[0] == "tell":
+            if step[0] == "router_event":
                 _, i, event = step
                 if event[0] in ("outcome", "first") and event[1] not in self.routers[i].reqs:
                     continue
--- a/lapiswing/lab/doubles.py
+++ b/lapiswing/lab/doubles.py
@@ -18,6 +18,7 @@
         self.rows, self.reqs = {}, {}
 
     def round(self, now_us, events, out):
+        """Handles a list of events as the Router does."""
         self.now, self.out = now_us, out
         for name, *fields in events:
             getattr(self, "on_" + name)(*fields)
@@ -29,10 +30,12 @@
             self.rows[row.id] = row
 
     def usable_servers(self, stage):
+        """The ready servers for a stage, `read` (prefill) or `write` (decode)."""
         roles = ("read", "both") if stage == "read" else ("write", "both")
         return [r.id for r in self.rows.values() if r.mode == "ready" and self.roles[r.kind] in roles]
 
     def random_fraction(self):
+        """A number in [0, 1) that follows from the seed and the number of draws."""
         self.draw_count += 1
         return crc32(b"%d/%d" % (self.seed, self.draw_count)) / 4294967296.0
 
@@ -54,19 +57,20 @@
 
     def allowed_servers(self, req, servers):
         """The servers to which the request may be sent, given the attempts that may already have taken effect."""
-        g = self.groups[req["group"]]
-        if not req["ran"] or g.effect == "replayable":
+        request_class = self.groups[req["group"]]
+        if not req["ran"] or request_class.effect == "replayable":
             return servers
-        if g.effect == "non-replayable":
+        if request_class.effect == "non-replayable":
             return []
         return [
             s
             for s in servers
-            if self.now - req["ran"][0][1] < g.repeat_window_us - 100_000
-            and (g.repeat_scope == "all" or self.zone_of(s) == self.zone_of(req["ran"][0][0]))
+            if self.now - req["ran"][0][1] < request_class.repeat_window_us - 100_000
+            and (request_class.repeat_scope == "all" or self.zone_of(s) == self.zone_of(req["ran"][0][0]))
         ]
 
     def send_attempt(self, rid, stage):
+        """Sends the request to a server for the stage, or gives it up."""
         req = self.reqs[rid]
         servers = self.allowed_servers(req, self.usable_servers(stage))
         if not servers or req["sent"] >= self.max_attempts or self.now + 50_000 >= req["expires"]:
@@ -79,10 +83,16 @@
         self.out.forward(rid, server, max(1000, req["expires"] - self.now - 50_000))
 
     def give_up(self, rid):
+        """Rejects the request, or fails it if a retry by the client could repeat an effect."""
         req = self.reqs[rid]
         req["closed"] = True
-        g = self.groups[req["group"]]
-        if not req["ran"] or g.effect == "replayable" or g.effect == "keyed" and g.repeat_scope == "all":
+        request_class = self.groups[req["group"]]
+        if (
+            not req["ran"]
+            or request_class.effect == "replayable"
+            or request_class.effect == "keyed"
+            and request_class.repeat_scope == "all"
+        ):
             self.out.push_back(rid, self.retry_after_us)
         else:
             self.out.abort(rid)
--- a/lapiswing/lab/fleetdays.py
+++ b/lapiswing/lab/fleetdays.py
@@ -51,6 +51,7 @@
         values.setdefault(row.value, set()).add(node.index)
 
     def is_majority(self, members):
+        """Whether these members and the writer are a majority."""
         return (len(members) + 1) * 2 > self.n
 
     def random_member(self):
@@ -115,10 +116,12 @@
         self.fleet.start(i, keep=disk != "emptied")
 
     def save_disk(self):
+        """Keeps a copy of a disk, to which it may be rolled back later."""
         i = self.random_member()
         self.saved_disks[i] = copy.deepcopy(self.fleet.nodes[i].disk)
 
     def play(self):
+        """Runs the day. Returns its result."""
         fleet = self.fleet
         fleet.start_all(1000)
         fleet.run(4 * S)
--- a/lapiswing/lab/fleetsim.py
+++ b/lapiswing/lab/fleetsim.py
@@ -28,6 +28,7 @@
         self.cuts = []  # (senders, targets): messages from the first set to the second are lost
 
     def reaches(self, sender, target):
+        """Whether messages from `sender` to `target` pass."""
         return not any(sender in a and target in b for a, b in self.cuts)
 
 
@@ -90,13 +91,16 @@
         return link
 
     def keep_identity(self, node):
+        """Writes the identity of the member's link to its disk."""
         node.disk["life"] = node.link.life
 
     def start_all(self, within_ms=1000):
+        """Starts all members at random times within `within_ms`."""
         for i in range(len(self.nodes)):
             self.call_later(int(self.rng.random() * within_ms * MS), self.start, i)
 
     def kill(self, i):
+        """Ends the process of member `i`; its disk stays."""
         self.nodes[i].epoch += 1
         self.nodes[i].link = None
 
@@ -147,6 +151,7 @@
     # ---- faults
 
     def cut(self, a, b, one_way=False):
+        """Loses all messages from the members `a` to `b`, and also back unless `one_way`."""
         self.net.cuts.append((set(a), set(b)))
         if not one_way:
             self.net.cuts.append((set(b), set(a)))
@@ -180,6 +185,7 @@
         return self.nodes[i].link.members.state_of(identity)
 
     def all_alive(self):
+        """Whether each running member sees all running members as alive."""
         up = self.up()
         return all(a.link.members.state_of(b.link.id) == "alive" for a in up for b in up)
 
--- a/lapiswing/lab/plan.py
+++ b/lapiswing/lab/plan.py
@@ -103,12 +103,12 @@
         f'admin {{ path: "gateway{index}.sock" }}',
         'tenant { name: "demo" api_key: "demo" }',
     ]
-    for g in day.classes:
+    for group in day.classes:
         lines.append(
-            f'group {{ name: "{g.name}" model: "{g.name}" effect: {g.effect} repeat_scope: {g.scope} '
-            f"repeat_window_ms: {g.window_ms} target_ms: {g.target_ms} target_per_1000_ms: {g.target_per_1000_ms} "
-            f"token_target_ms: {g.token_target_ms} deadline_ms: {g.deadline_ms} importance: {g.importance} "
-            f"late_importance: {g.late_importance} resume: {str(g.resume).lower()} stream_idle_ms: 1500 }}"
+            f'group {{ name: "{group.name}" model: "{group.name}" effect: {group.effect} repeat_scope: {group.scope} '
+            f"repeat_window_ms: {group.window_ms} target_ms: {group.target_ms} target_per_1000_ms: {group.target_per_1000_ms} "
+            f"token_target_ms: {group.token_target_ms} deadline_ms: {group.deadline_ms} importance: {group.importance} "
+            f"late_importance: {group.late_importance} resume: {str(group.resume).lower()} stream_idle_ms: 1500 }}"
         )
     for role, kind in KINDS.items():
         memory = day.read_memory if role == "read" else day.write_memory
--- a/lapiswing/lab/replay.py
+++ b/lapiswing/lab/replay.py
@@ -80,7 +80,7 @@
         ]
         plans = self.calls(classes)
         for trouble in raw["troubles"]:
-            self.trouble(trouble)
+            self.map_trouble(trouble)
         kinds, roles = self.kinds, self.family["roles"]
         memory = {
             role: min((e["memory"] for e, r in zip(self.family["engines"], roles) if r == role), default=100000) for role in ROLES
@@ -131,15 +131,20 @@
         return sorted(out)
 
     def make_server_specs(self):
+        """Makes the specs of the stand-in servers."""
         self.server_specs, self.spec_of_index = [], {}
-        for i, s in self.selected:
-            engine, kind, role = self.family["engines"][s["kind"]], self.kinds[s["kind"]], self.family["roles"][s["kind"]]
-            speed = s["speed"] * self.speed
+        for i, server in self.selected:
+            engine, kind, role = (
+                self.family["engines"][server["kind"]],
+                self.kinds[server["kind"]],
+                self.family["roles"][server["kind"]],
+            )
+            speed = server["speed"] * self.speed
             spec = {
                 "id": f"s{i}",
                 "role": role,
-                "zone": self.raw["zones"][s["zone"]],
-                "cell": f"c{s['cell']}",
+                "zone": self.raw["zones"][server["zone"]],
+                "cell": f"c{server['cell']}",
                 "read_per_s": engine["read_per_s"] * speed,
                 "read_queue": engine["slots"] + engine["queue"],
                 "slots": engine["slots"],
@@ -154,8 +159,8 @@
                 "ramp_ms": self.ms(kind["cold"]),
                 "fall_multiple": self.raw["fall_multiple"],
                 "overload_ms": self.ms(self.raw["fall_for"]),
-                "up": s["up"],
-                "listed": s["up"],
+                "up": server["up"],
+                "listed": server["up"],
             }
             self.server_specs.append(spec)
             self.spec_of_index[i] = spec
@@ -203,6 +208,7 @@
         return mean * exp(self.rng.gauss(-sigma * sigma / 2, sigma))
 
     def active_troubles(self, kind, at_ms):
+        """The troubles of this kind that are active at this time."""
         return [t for t in self.raw["troubles"] if t["kind"] == kind and self.ms(t["at"]) <= at_ms < self.ms(t["at"] + t["len"])]
 
     def calls(self, classes):
@@ -222,24 +228,31 @@
             factor = max([t["size"] for t in self.active_troubles("burst", at_ms)] + [1.0])
             if rng.random() > factor / peak:
                 continue
-            k = rng.choices(range(len(raw_classes)), [c["share"] / n for c, n in zip(raw_classes, turns)])[0]
-            talk, request_class, texts = talks[k], classes[k], []
-            trouble = next((t for t in self.active_troubles("hot_key", at_ms) if rng.random() < t["size"]), None)
-            if trouble is not None:
-                key = (trouble["at"], rng.randrange(max(1, int(trouble["extra"]))))
+            class_index = rng.choices(range(len(raw_classes)), [c["share"] / n for c, n in zip(raw_classes, turns)])[0]
+            talk, request_class, texts = talks[class_index], classes[class_index], []
+            hot_trouble = next((t for t in self.active_troubles("hot_key", at_ms) if rng.random() < t["size"]), None)
+            if hot_trouble is not None:
+                key = (hot_trouble["at"], rng.randrange(max(1, int(hot_trouble["extra"]))))
                 texts.append(("system", hot_texts.setdefault(key, self.text(self.family["hot_tokens"]))))
             elif rng.random() < talk["prefix_share"]:
                 texts.append(
-                    ("system", rng.choices(prefixes[k], [(i + 1) ** -talk["prefix_zipf"] for i in range(len(prefixes[k]))])[0])
+                    (
+                        "system",
+                        rng.choices(
+                            prefixes[class_index], [(i + 1) ** -talk["prefix_zipf"] for i in range(len(prefixes[class_index]))]
+                        )[0],
+                    )
                 )
             zone = rng.choices(range(len(by_zone)), raw["traffic"]["zone_share"])[0]
             gateway = rng.choice(by_zone[zone] or range(len(raw["balancers"])))
             when_ms = at_ms
-            for _ in range(1 + int(rng.expovariate(1 / max(0.01, turns[k] - 1)) + 0.5) if turns[k] > 1 else 1):
+            for _ in range(
+                1 + int(rng.expovariate(1 / max(0.01, turns[class_index] - 1)) + 0.5) if turns[class_index] > 1 else 1
+            ):
                 tokens = self.draw_lognormal(talk["new_tokens"], talk["new_sigma"])
-                for t in self.active_troubles("heavy_tail", when_ms):
-                    if t["which"] == k and rng.random() < t["extra"]:
-                        tokens *= t["size"]
+                for trouble in self.active_troubles("heavy_tail", when_ms):
+                    if trouble["which"] == class_index and rng.random() < trouble["extra"]:
+                        tokens *= trouble["size"]
                 tokens_left = talk["max_context"] - sum(len(c) for _, c in texts) // BYTES_PER_TOKEN
                 if tokens_left < 50 or when_ms >= self.length_ms:
                     break
@@ -267,9 +280,9 @@
                     )
                 if rng.random() < clients["impatient"]:
                     plan.leave_ms = rng.uniform(0.1, 0.6) * request_class.target_ms
-                for t in self.active_troubles("give_up", when_ms):
-                    if rng.random() < t["size"]:
-                        plan.leave_ms, plan.again = t["extra"] * request_class.target_ms, t.get("how") != "leave"
+                for trouble in self.active_troubles("give_up", when_ms):
+                    if rng.random() < trouble["size"]:
+                        plan.leave_ms, plan.again = trouble["extra"] * request_class.target_ms, trouble.get("how") != "leave"
                 out.append(plan)
                 texts = [*texts, ("assistant", self.text(answer_tokens))]
                 when_ms += (
@@ -281,17 +294,17 @@
 
     # ---- troubles
 
-    def trouble(self, t):
+    def map_trouble(self, trouble):
         """Maps one trouble by the method for its kind."""
-        map_trouble = getattr(self, "do_" + t["kind"], None)
-        if map_trouble is None:
-            self.notes.append(f"trouble {t['kind']}: not supported")
+        map_kind = getattr(self, "do_" + trouble["kind"], None)
+        if map_kind is None:
+            self.notes.append(f"trouble {trouble['kind']}: not supported")
             return
-        map_trouble(t, self.ms(t["at"]), self.ms(t["len"]))
+        map_kind(trouble, self.ms(trouble["at"]), self.ms(trouble["len"]))
 
-    def affected(self, t):
+    def affected(self, trouble):
         """The ids of the servers that a trouble affects."""
-        return [self.spec_of_index[i]["id"] for i in t["on"] if i in self.spec_of_index]
+        return [self.spec_of_index[i]["id"] for i in trouble["on"] if i in self.spec_of_index]
 
     def fault(self, at_ms, for_ms, servers, do, size=None):
         if servers:
@@ -308,48 +321,53 @@
             self.change_list(at_ms + self.ms(discovery["silent_notice"]), server, "gone")
         self.change_list(at_ms + for_ms + self.ms(discovery["add"]), server, "ready", at_ms + for_ms)
 
-    def do_slow(self, t, at_ms, for_ms):
-        self.fault(at_ms, for_ms, self.affected(t), "slow", t["size"])
+    def do_slow(self, trouble, at_ms, for_ms):
+        self.fault(at_ms, for_ms, self.affected(trouble), "slow", trouble["size"])
 
-    def do_fast_errors(self, t, at_ms, for_ms):
-        self.fault(at_ms, for_ms, self.affected(t), "errors", t["size"])
+    def do_fast_errors(self, trouble, at_ms, for_ms):
+        self.fault(at_ms, for_ms, self.affected(trouble), "errors", trouble["size"])
 
-    def do_answer_lost(self, t, at_ms, for_ms):
-        self.fault(at_ms, for_ms, self.affected(t), "lost", t["size"])
+    def do_answer_lost(self, trouble, at_ms, for_ms):
+        self.fault(at_ms, for_ms, self.affected(trouble), "lost", trouble["size"])
 
-    def do_flush(self, t, at_ms, for_ms):
-        self.fault(at_ms, None, [spec["id"] for spec in self.server_specs], "flush", t["size"])
+    def do_flush(self, trouble, at_ms, for_ms):
+        self.fault(at_ms, None, [spec["id"] for spec in self.server_specs], "flush", trouble["size"])
 
-    def do_ageing(self, t, at_ms, for_ms):
+    def do_ageing(self, trouble, at_ms, for_ms):
         """Slows down in ten steps by the same factor, then crashes and returns in slow start."""
-        for server in self.affected(t):
+        for server in self.affected(trouble):
             for i in range(10):
-                self.fault(at_ms + for_ms * i / 10, for_ms / 10, [server], "slow", exp(log(max(1.01, t["size"])) * (i + 1) / 10))
-            self.restart(server, at_ms + for_ms, t["extra"] * 1000 / self.speed)
+                self.fault(
+                    at_ms + for_ms * i / 10, for_ms / 10, [server], "slow", exp(log(max(1.01, trouble["size"])) * (i + 1) / 10)
+                )
+            self.restart(server, at_ms + for_ms, trouble["extra"] * 1000 / self.speed)
 
-    def do_mass_restart(self, t, at_ms, for_ms):
-        servers = self.affected(t)
+    def do_mass_restart(self, trouble, at_ms, for_ms):
+        servers = self.affected(trouble)
         for i, server in enumerate(servers):
             self.restart(server, at_ms + for_ms * i / len(servers), 300 / self.speed)
 
-    def do_balancer_crash(self, t, at_ms, for_ms):
-        for i in t["on"]:
+    def do_balancer_crash(self, trouble, at_ms, for_ms):
+        for i in trouble["on"]:
             self.gateway_events += [(at_ms, i, "kill"), (at_ms + for_ms, i, "start")]
 
-    def do_balancer_roll(self, t, at_ms, for_ms):
-        for step in t["steps"]:
+    def do_balancer_roll(self, trouble, at_ms, for_ms):
+        for step in trouble["steps"]:
             for i in step["stop"]:
                 stop_ms = self.ms(step["at"])
-                self.gateway_events += [(stop_ms, i, "kill"), (stop_ms + max(200, t["extra"] * 1000 / self.speed), i, "start")]
+                self.gateway_events += [
+                    (stop_ms, i, "kill"),
+                    (stop_ms + max(200, trouble["extra"] * 1000 / self.speed), i, "start"),
+                ]
 
-    def do_discovery_stale(self, t, at_ms, for_ms):
-        delay_ms = t["size"] * 1000 / self.speed
+    def do_discovery_stale(self, trouble, at_ms, for_ms):
+        delay_ms = trouble["size"] * 1000 / self.speed
         self.list_changes = [(w + delay_ms if at_ms <= w < at_ms + for_ms else w, b, m, c) for w, b, m, c in self.list_changes]
 
-    def do_burst(self, t, at_ms, for_ms):
+    def do_burst(self, trouble, at_ms, for_ms):
         pass  # `calls` takes it into account
 
     do_hot_key = do_heavy_tail = do_give_up = do_burst
 
-    def do_report_late(self, t, at_ms, for_ms):
+    def do_report_late(self, trouble, at_ms, for_ms):
         self.notes.append("trouble report_late: stand-in servers report with each answer and can't be late")
--- a/lapiswing/lab/run.py
+++ b/lapiswing/lab/run.py
@@ -143,6 +143,7 @@
         self.record.put("started", gateway=i)
 
     def wait_for_gateways(self):
+        """Waits until all gateways accept connections. Raises DayFailed after 10 s."""
         import socket
 
         end = time.monotonic() + 10
@@ -348,12 +349,13 @@
         + f": service {result['service']:.3f}; "
         + ", ".join(f"{n} {how}" for how, n in sorted(result["calls"].items()))
     ]
-    for r in result["rules"]:
-        state = f"BROKEN {len(r['broken'])}" if r["broken"] else "kept" if r["cases"] else "no case"
+    for rule in result["rules"]:
+        state = f"BROKEN {len(rule['broken'])}" if rule["broken"] else "kept" if rule["cases"] else "no case"
         lines.append(
-            f"  {r['rule']:<32} {r['cases']:>6} cases   worst {r['worst']:>9g} of {r['limit']:g} {r['unit']:<14} {state}"
+            f"  {rule['rule']:<32} {rule['cases']:>6} cases   worst {rule['worst']:>9g} of {rule['limit']:g} "
+            f"{rule['unit']:<14} {state}"
         )
-        lines += [f"      {b}" for b in r["broken"][:5]]
+        lines += [f"      {b}" for b in rule["broken"][:5]]
     if result["missing"]:
         lines.append(f"  required cases not seen: {', '.join(result['missing'])}")
     if result["died"]:
--- a/lapiswing/lab/scripts.py
+++ b/lapiswing/lab/scripts.py
@@ -84,6 +84,7 @@
 
 
 def of_role(rows, role):
+    """The ids of the servers with this role."""
     return [b["id"] for b in rows if b["role"] == role]
 
 
--- a/lapiswing/lab/soak/clients.py
+++ b/lapiswing/lab/soak/clients.py
@@ -62,6 +62,7 @@
         self.loop.call_later(int(self.rng.expovariate(self.calls_per_s) * S), self.arrive)
 
     def arrive(self):
+        """Starts a call at a random gateway and schedules the next arrival."""
         if not self.running:
             return
         self.start()
@@ -81,9 +82,11 @@
         )
 
     def has_idle_connection(self, gateway):
+        """Whether an idle keep-alive connection to the gateway exists."""
         return any(self.pools[gateway.number].idle.get(gateway.address, ()))
 
     def start_call(self, gateway):
+        """Draws a call, sends it, and for some calls schedules that the client disconnects."""
         self.call_count += 1
         name = self.rng.choice(["chat", "chat", "order", "pay"])
         patience_us = self.rng.choice((60, 150, 400, 1200, 3000, 3000, 3000)) * MS
@@ -97,6 +100,7 @@
             self.loop.call_later(int(self.rng.uniform(0, min(1.0, patience_us / S)) * S), self.leave, call)
 
     def send(self, call, gateway, name, fresh=False):
+        """Sends the request of a call and schedules the client's time limits."""
         text = f"{call.rid} " + "x" * 4 * self.rng.choice((20, 200, 2000))
         body = json.dumps({"model": name, "stream": True, "messages": [{"role": "user", "content": text}]}).encode()
         left_us = call.sent_us + call.deadline_us - self.loop.clock.now_us()
@@ -131,6 +135,7 @@
         self.send(call, gateway, name, fresh=True)
 
     def leave(self, call):
+        """The client disconnects before the answer is complete."""
         if call.end_us is None and call.client_left_us is None:
             call.client_left_us = self.loop.clock.now_us()
             call.answer_listener.exchange.cancel()
--- a/lapiswing/lab/soak/day.py
+++ b/lapiswing/lab/soak/day.py
@@ -77,6 +77,7 @@
         self.loop.call_later(CPU_WAIT_POLL_US, self.measure_cpu_waits)
 
     def play(self):
+        """Runs the day. Returns its records."""
         try:
             for gateway in self.gateways:
                 gateway.start()
@@ -116,9 +117,11 @@
         getattr(self, trouble.kind.name.lower())(trouble)
 
     def gateway(self, trouble):
+        """The gateway that is the target of a trouble."""
         return self.gateways[trouble.target % len(self.gateways)]
 
     def server(self, trouble):
+        """The model server that is the target of a trouble."""
         names = sorted(self.platform.servers)
         return self.platform.servers[names[trouble.target % len(names)]]
 
@@ -180,6 +183,7 @@
         self.loop.call_later(4 * S, self.close_agent, old)
 
     def new_agent(self, gateway):
+        """Starts another discovery agent for the gateway, with the state of its present one."""
         agent = Agent(self.platform, gateway.number)
         agent.index, agent.log = gateway.agent.index, list(gateway.agent.log)
         agent.silent, agent.garbage = gateway.agent.silent, gateway.agent.garbage
@@ -264,7 +268,7 @@
 
     def server_drain(self, trouble):
         server = self.server(trouble)
-        if self.has_spare(server.role):
+        if self.has_other_server(server.role):
             server.status = "DRAINING"
             self.platform.publish(server.row())
             self.loop.call_later(trouble.duration_us + 4 * S, self.end_drain, server)
@@ -276,7 +280,7 @@
 
     def server_replaced(self, trouble):
         server = self.server(trouble)
-        if not self.has_spare(server.role):
+        if not self.has_other_server(server.role):
             return
         new_server = self.platform.add(server.role)
         new_server.since_ms = self.unix_ms()
@@ -291,7 +295,7 @@
         if not server.relay.listener.closed:
             server.crash()
 
-    def has_spare(self, role):
+    def has_other_server(self, role):
         """Whether another server of the role stays available if one is taken away."""
         return sum(s.role == role and s.status == "SERVING" for s in self.platform.servers.values()) > 1
 
@@ -300,7 +304,7 @@
         server.relay.hold = True
         server.record_outage(trouble.duration_us + 6 * S)
         for state in [state for states in self.platform.held.values() for state in states]:
-            state.excused = True  # releases sent over the held link do not arrive, and the gateway can't know
+            state.excused = True  # requests sent over the held link have not arrived, and the gateway can't tell
         self.loop.call_later(trouble.duration_us, self.end_link_hold, server)
 
     @staticmethod
--- a/lapiswing/lab/soak/oracle.py
+++ b/lapiswing/lab/soak/oracle.py
@@ -274,6 +274,7 @@
         )
 
     def hold_limit_us(self):
+        """The longest time for which a state may be held without an attempt in progress."""
         return round(fleet_settings.RELEASE_MS * MS) + HELD_SLACK_US + self.slack_us
 
     def killed_while_held(self, call, state):
--- a/lapiswing/lab/soak/platform.py
+++ b/lapiswing/lab/soak/platform.py
@@ -49,6 +49,7 @@
         return self.platform.loop.clock.now_us()
 
     def end_attempt(self, attempt):
+        """Records the end of an attempt, if it is not recorded yet."""
         if attempt is not None and attempt.end_us is None:
             attempt.end_us = self.now
             self.open_attempts.discard(attempt)
@@ -181,12 +182,14 @@
         super().answer(exchange, after)
 
     def record_unavailable(self, rows):
+        """Records the rows among `rows` that mark a server as draining or deleted."""
         now = self.platform.loop.clock.now_us()
         for row in rows:
             if row["status"] != "SERVING":
                 self.platform.day.unavailable_reports.append(UnavailableReport(self.gateway, row["name"], now))
 
     def publish_row(self, index, row):
+        """Adds a changed row and answers the open watches."""
         self.index = index
         self.log.append((index, row))
         waiting, self.waiting = self.waiting, []
--- a/lapiswing/lab/soak/process.py
+++ b/lapiswing/lab/soak/process.py
@@ -49,15 +49,17 @@
         self.config_file.write_text(text if complete else text[: len(text) // 3])
 
     def write_shim(self):
+        """Writes the clock offset and the faults for the shim."""
         self.shim_file.write_text(json.dumps({"clock_s": self.clock_s, "faults": self.faults}))
 
     def start(self):
+        """Starts a new process of the gateway."""
         self.start_count += 1
         self.write_config()
         self.write_shim()
         log = self.folder / f"n{self.number}.{self.start_count}.log"
         with open(log, "w") as out:
-            self.log_reader = subprocess.Popen(["cat"], stdin=subprocess.PIPE, stdout=out)  # a pipe, so that it can be stopped
+            self.log_reader = subprocess.Popen(["cat"], stdin=subprocess.PIPE, stdout=out)  # reads the log from a pipe
             self.log_readers.append(self.log_reader)
             self.program = subprocess.Popen(
                 ["/bin/sh", "-c", f"trap '' HUP; exec {sys.executable} -m lapiswing.lab.soak.shim"],
@@ -121,6 +123,7 @@
             then()
 
     def kill(self, run=None, then=None):
+        """Sends SIGKILL if `run` is the current process; then calls `then`."""
         run = run or self.run
         if run is self.run:
             if self.alive():
--- a/lapiswing/lab/soak/shim.py
+++ b/lapiswing/lab/soak/shim.py
@@ -25,6 +25,7 @@
         self.load()
 
     def load(self, *_signal):
+        """Reads the file. An unreadable file changes nothing."""
         try:
             with open(self.path) as file:
                 content = json.load(file)
@@ -42,11 +43,13 @@
         return None
 
     def step_clock(self):
+        """Adds the offset to the wall clock."""
         unix_ns, unix = time.time_ns, time.time
         time.time_ns = lambda: unix_ns() + self.clock_ns
         time.time = lambda: unix() + self.clock_ns / 1e9
 
     def wrap_sockets(self):
+        """Replaces the socket class by one whose calls can fail."""
         shim, real_socket = self, socket.socket
 
         class FailingSocket(real_socket):
