--- a/lapiswing/engine/__init__.py
+++ b/lapiswing/engine/__init__.py
@@ -1,4 +1,4 @@
-"""What the gateway says to model servers (boxes), and what their answers mean. The protocol is docs/boxes.md."""
+"""Requests from the gateway to model servers, and the interpretation of their responses. docs/boxes.md has the protocol."""
 
 from lapiswing.engine.client import Engine
 from lapiswing.engine.outcomes import of_failure, of_status, report_of
--- a/lapiswing/engine/attempt.py
+++ b/lapiswing/engine/attempt.py
@@ -1,8 +1,9 @@
-"""What every kind of forward shares: how it is held up, taken back and ended, for whichever protocol."""
+"""The part of an attempt that does not depend on the protocol: pausing, cancelling and ending it."""
 
 
 class HttpAttempt:
-    """A forward that is one exchange of the HTTP pool. It sets `exchange`, and what is to be told of its outcome."""
+    """An attempt that is one exchange of the HTTP pool. Subclasses set `exchange`, and the code, remark and load report
+    that are passed to the owner with the outcome."""
 
     over, exchange = False, None
     code = remark = report = None
@@ -12,30 +13,37 @@
 
     @property
     def unsent(self):
+        """Whether the kernel has not been given the whole request yet, so that it can't have run."""
         return not self.over and self.exchange.unsent
 
     def pause(self):
+        """Stops reading the response."""
         self.exchange.pause()
 
     def resume(self):
+        """Reads the response again."""
         self.exchange.resume()
 
     def cancel(self):
+        """Ends the attempt without calling the owner."""
         if not self.over:
             self.exchange.cancel()
             self.end()
 
     def break_off(self, code):
+        """Aborts the exchange and reports the outcome `code`."""
         if not self.over:
             self.exchange.cancel()
             self.finish(code)
 
     def finish(self, code):
+        """Ends the attempt and reports the outcome `code`."""
         if not self.over:
             self.end().on_outcome(self, code, self.remark, self.report)
 
     def end(self):
-        """-> the owner, which hears nothing after this. No cycle is left behind."""
+        """Marks the attempt as over and returns its owner, which gets no further calls. The references are dropped so
+        that no reference cycle remains."""
         self.over = True
         owner, self.owner, self.exchange = self.owner, None, None
         return owner
--- a/lapiswing/engine/client.py
+++ b/lapiswing/engine/client.py
@@ -1,10 +1,11 @@
-"""The doing part: forwards, releases, places and probes over the HTTP pool.
+"""Requests to model servers over the HTTP pool: attempts, releases, reservations and probes. Reads run on prefill servers,
+writes on decode servers.
 
-A forward's owner gets, never from within the call that starts it:
-    on_first(forward)                      the first event that says something is in
-    on_events(forward, values, payloads)   what came in at once: events as values and as bytes, the first included
-    on_outcome(forward, code, remark, report)   once; nothing after it
-and may call `cancel()`, after which it hears nothing."""
+The owner of an attempt is called as follows, never from within the call that starts the attempt:
+    on_first(attempt)                      the first event with content has come
+    on_events(attempt, values, payloads)   events that came together, parsed and as bytes, the first one included
+    on_outcome(attempt, code, remark, report)   once, as the last call
+After `cancel()` it is not called any more."""
 
 import orjson
 
@@ -14,14 +15,14 @@
 from lapiswing.http1.wire import get
 from lapiswing.loop import address_of
 
-CHAT = b"/v1/chat/completions"
-RELEASE_PAUSES_MS = (100, 200, 400, 800, 1600, 3200)
-ANSWER_BYTES = 1 << 20  # of an answer that is not streamed
+CHAT_PATH = b"/v1/chat/completions"
+RELEASE_RETRY_DELAYS_MS = (100, 200, 400, 800, 1600, 3200)
+MAX_RESPONSE_BYTES = 1 << 20  # of a response that is not streamed
 
 
-def read_body(raw):
-    """The call as its reader gets it, in the way of vLLM's published split-prefill interface: one token asked for,
-    the state kept for another engine."""
+def read_request_body(raw):
+    """Returns the call as a prefill server gets it, in the manner of vLLM's published interface for split prefill: one token
+    is asked for, and the state is kept for another engine."""
     body = {
         **raw,
         "stream": False,
@@ -43,27 +44,27 @@
     return body
 
 
-def write_body(raw, params):
-    """The call as its writer gets it. Always streamed, so that the first token can be told from the last."""
+def write_request_body(raw, params):
+    """Returns the call as a decode server gets it. It is always streamed, so that the first token is seen as it comes."""
     body = {**raw, "stream": True, "stream_options": {**(raw.get("stream_options") or {}), "include_usage": True}}
     if params is not None:
         body["kv_transfer_params"] = params
     return body
 
 
-class Forward(HttpAttempt):
-    """One forward that is out."""
+class Attempt(HttpAttempt):
+    """An attempt that is in progress at a server."""
 
     def __init__(self, owner, server, stage, event_bytes):
         super().__init__(owner)
         self.server, self.stage = server, stage
-        self.begun, self.ended, self.status = False, False, None
-        self.body, self.size, self.held = [], 0, ([], [])
+        self.begun, self.done_seen, self.status = False, False, None
+        self.body, self.size, self.buffered = [], 0, ([], [])  # buffered: (values, payloads) before the first content
         self.events = EventParser(event_bytes)
         self.params = self.cached = self.answer = None
-        self.most = event_bytes
+        self.max_event_bytes = event_bytes
 
-    # handler of the exchange
+    # ---- handler of the exchange
 
     def on_head(self, status, fields):
         self.status = status
@@ -74,49 +75,50 @@
         kind = (get(fields, b"content-type") or b"").split(b";")[0].strip().lower()
         wanted = b"application/json" if self.stage == "read" else b"text/event-stream"
         if self.code == "ok" and kind != wanted:
-            self.break_off("error")  # a 200 that is not what was asked for
+            self.break_off("error")  # a 200 of another content type than asked for
 
     def on_body(self, data):
         if self.over:
             return
         if self.code != "ok" or self.stage == "read":
             self.size += len(data)
-            if self.size > max(self.most, ANSWER_BYTES):
+            if self.size > max(self.max_event_bytes, MAX_RESPONSE_BYTES):
                 return self.break_off("reset")
             self.body.append(data)
             return
         try:
             values, payloads = [], self.events.feed(data)
             for payload in payloads:
-                if self.ended:
-                    raise ValueError("an event behind [DONE]")
+                if self.done_seen:
+                    raise ValueError("an event after [DONE]")
                 if payload == b"[DONE]":
-                    self.ended = True
+                    self.done_seen = True
                     continue
                 value = orjson.loads(payload)
-                if "error" in value:  # the box says that it broke off
-                    self.pass_on(values, payloads[: len(values)])
+                if "error" in value:  # the server reports that it broke off
+                    self.deliver(values, payloads[: len(values)])
                     return self.break_off("error")
-                value["choices"] or value["usage"]  # what is neither is no event of this API
+                value["choices"] or value["usage"]  # raises where the value is no event of this API
                 values.append(value)
-            if self.ended:
+            if self.done_seen:
                 payloads.pop()
-            self.pass_on(values, payloads)
+            self.deliver(values, payloads)
         except (EventTooLong, ValueError, TypeError, AttributeError, KeyError, IndexError):
             self.break_off("reset")
 
-    def pass_on(self, values, payloads):
+    def deliver(self, values, payloads):
+        """Passes events to the owner. Events before the first one with content are buffered."""
         if not values or self.over:
             return
         if not self.begun:
-            self.held[0].extend(values)
-            self.held[1].extend(payloads)
-            values, payloads = self.held
-            if not any(map(says_something, values)):
+            self.buffered[0].extend(values)
+            self.buffered[1].extend(payloads)
+            values, payloads = self.buffered
+            if not any(map(has_content, values)):
                 if len(values) > 16:
-                    raise ValueError("events that say nothing")
+                    raise ValueError("too many events without content")
                 return
-            self.begun, self.held = True, None
+            self.begun, self.buffered = True, None
             self.owner.on_first(self)
             if self.over:
                 return
@@ -131,13 +133,13 @@
         if self.code != "ok":
             return self.finish(self.code)
         if self.stage != "read":
-            # An end without [DONE] is a break, however tidy the connection's end.
-            return self.finish("done" if self.ended and self.begun else "reset")
+            # A stream without [DONE] is incomplete, even where the connection was closed in order.
+            return self.finish("done" if self.done_seen and self.begun else "reset")
         try:
             value = orjson.loads(b"".join(self.body))
             self.params = value["kv_transfer_params"]
             if not isinstance(self.params, dict) or not self.params.get("remote_engine_id"):
-                raise ValueError("no state is named")
+                raise ValueError("the response names no state")
             details = (value.get("usage") or {}).get("prompt_tokens_details") or {}
             self.remark = self.cached = int(details.get("cached_tokens") or 0)
             self.prompt_tokens = int((value.get("usage") or {}).get("prompt_tokens") or 0)
@@ -147,11 +149,12 @@
 
     def on_fail(self, stage, why):
         if self.code == "full" and stage == "body":
-            return self.finish("full")  # the head has proved it
+            return self.finish("full")  # the response head has proved the refusal
         self.finish(of_failure(stage) if stage != "body" or self.code in ("ok", "answered", None) else self.code)
 
 
-def says_something(value):
+def has_content(value):
+    """Whether an event brings text or the end of the answer, not just the role."""
     for choice in value.get("choices") or ():
         delta = choice.get("delta") or {}
         if choice.get("finish_reason") or any(v for n, v in delta.items() if n != "role"):
@@ -160,24 +163,25 @@
 
 
 class Release:
-    """Lets go of a state at its holder. A release that a hung or cut-off box did not answer is sent again after growing
-    pauses, so that the memory is free again soon after the box comes back; a state that is already gone is as good."""
+    """Releases a state at the server that holds it. A release without a response is sent again after growing delays, so that
+    the memory is freed soon after a server that hung or was cut off is back. A state that no longer exists counts as
+    released."""
 
     def __init__(self, engine, server, name):
-        self.engine, self.server, self.name, self.pauses = engine, server, name, iter(RELEASE_PAUSES_MS)
+        self.engine, self.server, self.name, self.delays_ms = engine, server, name, iter(RELEASE_RETRY_DELAYS_MS)
         self.exchange = self.timer = None
         engine.releasing += 1
         self.send()
 
     def send(self):
         if self.exchange is not None:
-            self.exchange.cancel()  # not answered in its time
-        pause = next(self.pauses, None)
-        if pause is None:
+            self.exchange.cancel()  # no response within the delay
+        delay_ms = next(self.delays_ms, None)
+        if delay_ms is None:
             self.engine.releasing -= 1
             return
         self.status = None
-        self.timer = self.engine.loop.call_later(pause * 1000, self.send)
+        self.timer = self.engine.loop.call_later(delay_ms * 1000, self.send)
         self.exchange = self.engine.pool.request(address_of(self.server), b"DELETE", b"/v1/states/" + self.name, [], b"", self)
 
     def on_head(self, status, fields):
@@ -195,19 +199,19 @@
         pass  # the timer sends it again
 
 
-class Ask:
-    """A small call that answers JSON: a probe, a held place. `done(code, value, report)`."""
+class ControlCall:
+    """A small request with a JSON response: a probe or a reservation. Calls `done(code, value, report)` once."""
 
     def __init__(self, engine, server, method, target, body, timeout_us, done):
         self.done, self.status, self.report, self.parts, self.size = done, None, None, [], 0
         self.exchange = engine.pool.request(
             address_of(server), method, target, [(b"content-type", b"application/json")] if body else [], body, self
         )
-        self.timer = engine.loop.call_later(timeout_us, self.late)
+        self.timer = engine.loop.call_later(timeout_us, self.on_timeout)
 
-    def late(self):
+    def on_timeout(self):
         self.exchange.cancel()
-        self.tell("timed_out", None)
+        self.complete("timed_out", None)
 
     def on_head(self, status, fields):
         self.status, self.report = status, report_of(get(fields, b"x-load"))
@@ -222,12 +226,12 @@
             value = orjson.loads(b"".join(self.parts) or b"null")
         except ValueError:
             value = None
-        self.tell("done" if self.status == 200 else "error", value)
+        self.complete("done" if self.status == 200 else "error", value)
 
     def on_fail(self, stage, why):
-        self.tell(of_failure(stage), None)
+        self.complete(of_failure(stage), None)
 
-    def tell(self, code, value):
+    def complete(self, code, value):
         self.timer.cancel()
         done, self.done = self.done, None
         if done:
@@ -235,33 +239,43 @@
 
 
 class Engine:
+    """The gateway's client of its model servers. `releasing` counts the releases without a response yet."""
+
     def __init__(self, loop, pool, event_bytes):
         self.loop, self.pool, self.event_bytes, self.releasing = loop, pool, event_bytes, 0
 
-    states_named_by_req = False  # each forward's state has a name of its own
+    states_named_by_req = False  # the state of each attempt has a name of its own
 
     def state_name(self, gateway, rid, number=None):
+        """Returns the name under which servers keep the state of an attempt, or of the request where `number` is None."""
         return (f"{gateway}.{rid}" if number is None else f"{gateway}.{rid}.{number}").encode()
 
-    def start_attempt(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
-        """Sends `raw` (the client's call) as a read, a write of the state that `params` name, or, directly, both. `read_us`:
-        how long the read of that state took; its writer weighs it against a move that goes badly."""
-        forward = Forward(owner, server, stage, self.event_bytes)
-        body = read_body(raw) if stage == "read" else write_body(raw, params)
+    def start_attempt(
+        self, owner, server, stage, raw, params, name, key, new_connection, read_us=None, within_us=None, up_us=None
+    ):
+        """Sends `raw`, the client's call, as a read, as a write of the state that `params` name, or, in the direct stage, as
+        both. `key`: idempotency key. `read_us`: how long the read of the state took, by which the writer judges whether to
+        wait for a slow transfer. `up_us`: the time in which a new connection has to be established."""
+        attempt = Attempt(owner, server, stage, self.event_bytes)
+        body = read_request_body(raw) if stage == "read" else write_request_body(raw, params)
         fields = [(b"content-type", b"application/json"), (b"x-request-id", name)]
         if key:
             fields.append((b"idempotency-key", key))
         if read_us is not None:
             fields.append((b"x-read-ms", b"%d" % (read_us // 1000)))
-        forward.name = name
-        forward.exchange = self.pool.request(address_of(server), b"POST", CHAT, fields, orjson.dumps(body), forward, fresh, up_us)
-        return forward
+        attempt.name = name
+        attempt.exchange = self.pool.request(
+            address_of(server), b"POST", CHAT_PATH, fields, orjson.dumps(body), attempt, new_connection, up_us
+        )
+        return attempt
 
     def release(self, server, name):
+        """Frees the state `name` at `server`."""
         Release(self, server, name)
 
     def hold_place(self, server, name, tokens, done):
-        Ask(
+        """Asks `server` to reserve room for a state of `tokens`. Calls `done(held)`."""
+        ControlCall(
             self,
             server,
             b"POST",
@@ -272,7 +286,8 @@
         )
 
     def probe(self, server, done):
-        Ask(
+        """Asks `server` for its load. Calls `done(code, report)`."""
+        ControlCall(
             self,
             server,
             b"GET",
--- a/lapiswing/engine/outcomes.py
+++ b/lapiswing/engine/outcomes.py
@@ -1,31 +1,34 @@
-"""How each thing that can come back from a box is told to the decisions. Pure; docs/boxes.md has the same table.
+"""Maps responses and transport failures of model servers to the router's outcome codes. Pure functions; docs/boxes.md has
+the same table.
 
-Codes are the module's: done, read, error, full, timed_out, unreachable, reset, cancelled. `full` and `unreachable` prove
-that the forward never ran, so they are said only where the box or the transport proves it. Everything else may have
-run: an answer that was lost looks just like work that was never begun."""
+The codes are those of the router's interface: done, read, error, full, timed_out, unreachable, reset, cancelled. `full` and
+`unreachable` state that the attempt never ran, so they are used only where the server or the transport proves it. In all
+other cases the attempt may have run: a lost response can't be told from work that never began."""
 
-# A box that refuses says so in this header; a 429 or 503 without it (a proxy's, a crash's) proves nothing.
+# Header by which a server states that it refused the request. A 429 or 503 without it, such as one from a proxy or a crash,
+# proves nothing.
 REFUSAL = b"x-refusal"
 REFUSALS = {b"full", b"draining", b"no-state", b"no-path"}
-# The box judged the call itself and found it wrong: the same everywhere, so it is the client's answer.
+# Statuses by which a server finds the call itself at fault. Any server would respond so, hence they go to the client.
 ABOUT_THE_CALL = {400, 404, 405, 413, 415, 422}
 
 
 def of_failure(stage):
-    """A transport's stage (see http1.ClientExchange) -> code."""
+    """Returns the outcome code for the stage in which the transport failed (see http1.ClientExchange)."""
     return {
-        "local": "moot",  # nothing was sent, for a reason of our own
-        "no route": "no_way",  # nothing was sent, as this machine could open no connection to this box
-        "connect": "unreachable",  # no connection, so no request
-        "unsent": "unreachable",  # a box must not begin before it has the whole body (docs/boxes.md)
-        "sent": "reset",  # the request is there, the answer is not
-        "head": "reset",  # half a head, or garbage
-        "body": "reset",  # the answer broke off
+        "local": "moot",  # nothing was sent: the gateway had no descriptor left
+        "no route": "no_way",  # nothing was sent: this machine could open no connection to the server
+        "connect": "unreachable",  # nothing was sent: the server could not be connected to
+        "unsent": "unreachable",  # a server must not begin before it has the whole body (docs/boxes.md)
+        "sent": "reset",  # the whole request was sent and no byte of the response came
+        "head": "reset",  # the response head was incomplete or malformed
+        "body": "reset",  # the response body broke off
     }[stage]
 
 
 def of_status(status, refusal):
-    """An answer's status and refusal header -> (code, remark), or ('answered', None) for what goes to the client."""
+    """Returns (code, remark) for a response's status and refusal header. The code 'answered' marks a response that is passed
+    to the client."""
     if status == 200:
         return "ok", None
     if status in (429, 503) and refusal in REFUSALS:
@@ -36,14 +39,15 @@
 
 
 def report_of(value):
-    """`x-load: inflight=7, queue=3, x0=0.4` -> {'inflight': 7.0, ...}; None where there is none or it can't be read."""
+    """Parses a load report: `x-load: inflight=7, queue=3, x0=0.4` gives {'inflight': 7.0, ...}. Returns None where it is
+    missing, too long or holds no number."""
     if not value or len(value) > 512:
         return None
-    out = {}
+    report = {}
     for item in value.decode("latin-1").split(","):
         name, _, number = item.partition("=")
         try:
-            out[name.strip()] = float(number)
+            report[name.strip()] = float(number)
         except ValueError:
             continue
-    return out or None
+    return report or None
