--- a/lapiswing/chat/events.py
+++ b/lapiswing/chat/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of the chat API: splitting a byte stream into events, and putting an answer together."""
+"""Server-sent events of the chat API: splitting a byte stream into events, and assembling the whole answer."""
 
 import orjson
 
@@ -6,78 +6,83 @@
 
 
 class EventTooLong(Exception):
-    """An event that passes the bound: a box that never ends a line must not fill the memory."""
+    """An event above the size limit. Without a limit, a server that never ends a line would fill the memory."""
 
 
 def encode_event(value):
+    """Returns the bytes of an event with a JSON value."""
     return b"data: " + orjson.dumps(value) + b"\n\n"
 
 
-def joined(payloads):
-    """Payloads of events -> the events' bytes."""
+def join_events(payloads):
+    """Returns the bytes of events with these payloads."""
     return b"data: " + b"\n\ndata: ".join(payloads) + b"\n\n"
 
 
 def without_usage(values, payloads):
-    """The payloads for a client that asked for no usage: the gateway always asks boxes for it."""
+    """Returns the payloads for a client that did not ask for usage, which the gateway always asks servers for."""
     if values[-1].get("choices"):
         return payloads
-    return [p for v, p in zip(values, payloads) if v.get("choices")]
+    return [payload for value, payload in zip(values, payloads) if value.get("choices")]
 
 
 class EventParser:
-    """`feed(bytes)` -> the payloads of the events that are whole now; comments and empty events are passed over. Line
-    ends may be LF or CR LF (WHATWG HTML, section 9.2.6). Raises EventTooLong."""
+    """Splits a byte stream into events. Comments and empty events are skipped. Line ends may be LF or CR LF (WHATWG HTML,
+    section 9.2.6)."""
 
-    def __init__(self, most):
-        self.most, self.rest = most, b""
+    def __init__(self, max_event_bytes):
+        self.max_event_bytes, self.rest = max_event_bytes, b""
 
     def feed(self, data):
+        """Returns the payloads of the events that `data` completes. Raises EventTooLong."""
         if self.rest:
             data = self.rest + data
         if b"\r" in data:
-            held = data.endswith(b"\r")
-            data = (data[:-1] if held else data).replace(b"\r\n", b"\n") + (b"\r" if held else b"")
+            ends_in_cr = data.endswith(b"\r")
+            data = (data[:-1] if ends_in_cr else data).replace(b"\r\n", b"\n") + (b"\r" if ends_in_cr else b"")
         blocks = data.split(b"\n\n")
         self.rest = blocks.pop()
-        if len(self.rest) > self.most:
-            raise EventTooLong(f"an event of more than {self.most} bytes")
-        out = []
+        if len(self.rest) > self.max_event_bytes:
+            raise EventTooLong(f"an event of more than {self.max_event_bytes} bytes")
+        found = []
         for block in blocks:
             if block[:6] == b"data: " and b"\n" not in block:
-                out.append(block[6:])
+                found.append(block[6:])
                 continue
             lines = [line[5:].lstrip(b" ") for line in block.split(b"\n") if line[:5] == b"data:"]
             if lines:
-                out.append(b" ".join(lines))  # JSON: a line end between tokens is as good as a blank
-        return out
+                found.append(b" ".join(lines))  # in JSON a line end between tokens is equivalent to a space
+        return found
 
 
 class Assembler:
-    """Collects `chat.completion.chunk` values into what one `chat.completion` says. `tokens` counts the events with
-    text, which for an engine that sends one a step are its tokens."""
+    """Assembles `chat.completion.chunk` values into one `chat.completion`. `extra` has the fields of the message besides role
+    and content."""
 
     def __init__(self):
         self.id = self.model = self.created = self.fingerprint = None
         self.role, self.parts, self.finish, self.usage = "assistant", [], None, None
-        self.more = {}
+        self.extra = {}
 
     @property
     def tokens(self):
+        """The number of events with text: the number of tokens, for an engine that sends one event per step."""
         return len(self.parts)
 
     def add(self, value):
+        """Adds a chunk."""
         choices = value.get("choices")
         if choices and self.id is not None:
             choice = choices[0]
             delta = choice.get("delta")
             if delta and len(delta) == 1 and "content" in delta and choice.get("finish_reason") is None:
-                if delta["content"]:  # what nearly all events are
+                if delta["content"]:  # nearly all events have just content
                     self.parts.append(delta["content"])
                 return
-        self.add_rare(value)
+        self.add_general(value)
 
-    def add_rare(self, value):
+    def add_general(self, value):
+        """Adds a chunk of any form."""
         if self.id is None:
             self.id, self.model, self.created = value.get("id"), value.get("model"), value.get("created")
             self.fingerprint = value.get("system_fingerprint")
@@ -91,14 +96,16 @@
             for name, item in delta.items():
                 if name not in ("content", "role") and item is not None:
                     if isinstance(item, str):
-                        self.more[name] = self.more.get(name, "") + item
+                        self.extra[name] = self.extra.get(name, "") + item
                     elif isinstance(item, list):
-                        self.more[name] = self.more.get(name, []) + item
+                        self.extra[name] = self.extra.get(name, []) + item
 
     def content(self):
+        """Returns the text so far."""
         return "".join(self.parts)
 
     def completion(self):
+        """Returns the `chat.completion` object."""
         return {
             "id": self.id,
             "object": "chat.completion",
@@ -110,7 +117,7 @@
                     "index": 0,
                     "finish_reason": self.finish,
                     "logprobs": None,
-                    "message": {"role": self.role, "content": self.content(), **self.more},
+                    "message": {"role": self.role, "content": self.content(), **self.extra},
                 }
             ],
             "usage": self.usage,
--- a/lapiswing/gateway/__init__.py
+++ b/lapiswing/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway: `core` hosts the Router and owns the reqs, `fronts` speak to clients, `serve` puts a process together."""
+"""One gateway: `core` hosts the router and owns the requests, `fronts` serve clients, `serve` assembles the process."""
--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -1,18 +1,19 @@
-"""The host of one Router. It owns every req from the front's parse to the final answer, carries out what the module
-decides and tells it what came of that. It decides nothing about a req itself; what it does unasked are the
-consequences that the module's interface gives to the host: the first answer goes to the client, a begun stream that
-breaks ends the req (or goes on as a new one, see `resume`), and a forward whose req has ended is taken back.
+"""The host of one Router. It owns every request from parsing in a front to the final answer, carries out the router's
+decisions on it and reports the results to the router. It decides nothing about a request itself. What it does unasked are
+the consequences that the router's interface assigns to the host: the first attempt that begins to answer is passed to the
+client, a request whose begun stream breaks ends (or continues as a new one, see `resume`), and attempts of a request that
+has ended are cancelled.
 
 A front hands in a Spec and a listener:
-    on_begin()                 a stream starts; then
-    on_events(values, payloads)    events of it, as values and as bytes
-    on_done(answer)            final: done; the whole answer
-    on_server_answer(status, body)    final: done, with the box's word on a call that it found wrong
-    on_rejected(us)         final
-    on_failed(why)            final, in a begun stream too
-    full                       whether it wants no more for now
-    look()                     hears at once whether its client has gone, and then calls `left`
-Exactly one of the final ones comes, written by `finish`, which can't run twice."""
+    on_begin()                 a stream starts
+    on_events(values, payloads)    events of the stream, parsed and as bytes
+    on_done(answer)            final: done, with the whole answer
+    on_server_answer(status, body)    final: done, with a server's response that finds the call at fault
+    on_rejected(us)            final: rejected; the client may retry after this time
+    on_failed(why)             final: failed, also after a stream has begun
+    full                       whether the listener wants no more events for now
+    check_client()             checks at once whether the client has gone, and calls `listener_left` then
+Exactly one of the final calls is made, by `finish`, which can't run twice for a request."""
 
 from typing import Any, NamedTuple
 
@@ -28,12 +29,12 @@
 from lapiswing.state import Memory
 
 MS = 1000
-GRACE_US = 1000 * MS  # for what is sent to a server that drains, where the settings name none
-ROUNDS = 4  # of the Router in one turn; what is still new then waits for the next turn
+DEFAULT_DRAIN_GRACE_US = 1000 * MS  # during which a draining server may be sent something new, if the settings name no time
+MAX_ROUNDS_PER_TURN = 4  # of the router; events that are new after these wait for the next turn of the loop
 
 
 class Spec(NamedTuple):
-    """A call as the decisions see it, and its body."""
+    """A call as the router sees it, with its parsed body."""
 
     group: int
     tenant: int
@@ -44,16 +45,16 @@
     prefix: str | None
     prefix_tokens: int
     max_out: int
-    key: str | None  # idempotency key, made the tenant's own
+    key: str | None  # idempotency key, prefixed with tenant and request class
     fingerprint: bytes
-    entry: Any = None  # of `admission.repeats`, where there is a key
-    rid: Any = None  # its id, where the front's protocol brings one
-    bits: int = 0  # of the module's `req` event
+    entry: Any = None  # of `admission.repeats`, if the call has a key
+    rid: Any = None  # request id, if the front's protocol has one
+    bits: int = 0  # flags of the router's `req` event
 
 
 class Answer:
-    """What was written so far: for the listener of a whole answer, for what goes on elsewhere, and, where there is an
-    idempotency key, for joiners and repeats."""
+    """The answer so far: for the listener of a whole answer, for resuming a broken stream elsewhere and, with an
+    idempotency key (`keep`), for repeats of the call that join it or get it again."""
 
     def __init__(self, keep):
         self.assembler, self.events, self.size = Assembler(), [] if keep else None, 0
@@ -66,46 +67,53 @@
             self.size += sum(map(len, payloads))
 
 
-class Out:
-    """A forward that is out, as the core sees it."""
+class OpenAttempt:
+    """An attempt without an outcome yet. `handle` is the engine's object for it; `progress_us` is when the last event came."""
 
-    __slots__ = ("forward", "server", "stage", "sent_us", "timer", "moved_us")
+    __slots__ = ("handle", "server", "stage", "sent_us", "timer", "progress_us")
 
     def __init__(self, server, stage, sent_us):
         self.server, self.stage, self.sent_us = server, stage, sent_us
-        self.forward = self.timer = None
-        self.moved_us = sent_us
+        self.handle = self.timer = None
+        self.progress_us = sent_us
 
 
 class Req:
+    """An open request: its listeners, its attempts by number and the answer so far. `state` is what a server holds for it
+    after a read: (server, transfer parameters, name, time of repeating the read in us or None). `answering_no` is the number
+    of the attempt that has begun to answer."""
+
     def __init__(self, number, spec, now_us):
         self.number, self.spec, self.accepted_us = number, spec, now_us
         self.rid = number if spec.rid is None else spec.rid
         self.raw, self.tokens, self.expires_us = spec.call.raw, spec.tokens, spec.expires_us
         self.listeners, self.attempts, self.attempts_sent, self.state = [], {}, 0, None
-        self.left = None  # a server where a state may be held that no answer named
+        self.leftover_server = None  # server that may hold a state which no response named
         self.answering_no, self.streaming, self.over, self.resumes = None, False, False, 0
         self.answer = Answer(spec.key is not None)
         self.paused = False
-        self.first_us = self.backstop = None
-        self.held_since_us = None  # since when a state is held without a forward being out
-        self.history = History()  # for the run-time checks
-        self.attempt_history, self.part = [], 0  # for the log line; tokens written before the present part
+        self.first_token_us = self.backstop_timer = None
+        self.held_since_us = None  # since when a state is held with no attempt in progress
+        self.guard_history = History()  # for the run-time checks of `guards`
+        self.attempt_history, self.tokens_before = [], 0  # for the log; tokens written before the last resumption
 
 
 class Core:
+    """Hosts the router: takes calls from fronts, starts and ends attempts, and keeps the server list current."""
+
     def __init__(
         self, loop, engine, membership, repeats, settings, router_settings, roles, name, seed, log, router=Router, memory=None
     ):
-        """`settings`: the checked message; `roles`: kind number -> read, write or both."""
-        self.loop, self.engine, self.membership, self.repeats, self.lines = loop, engine, membership, repeats, log
-        self.settings, self.limits, self.groups = settings, settings.limits, settings.group
+        """`settings`: the checked settings message; `router_settings`: the same for the router; `roles`: read, write or both
+        by the number of the kind; `name`: unique to this process, as a prefix of state names."""
+        self.loop, self.engine, self.membership, self.repeats, self.logger = loop, engine, membership, repeats, log
+        self.settings, self.limits, self.class_settings = settings, settings.limits, settings.group
         self.request_classes = router_settings["groups"]
         self.margin_us, self.load_memory = self.limits.margin_ms * MS, settings.mapping.load_memory
         self.roles, self.name = roles, name
-        self.events, self.reqs, self.count, self.ended = [], {}, 0, []
-        self.kinds = {}  # box -> kind, also of those that have left the list
-        self.departed = set()  # servers that have left the list and are not forgotten yet
+        self.events, self.reqs, self.req_count, self.ended = [], {}, 0, []
+        self.kinds = {}  # server -> kind, also of servers that have left the list
+        self.departed = set()  # servers that have left the list and whose data is still kept
         self.draining, self.on_idle, self.open, self.log_each_req = False, None, 0, True
         self.counts = {
             "taken": 0,
@@ -125,53 +133,55 @@
         self.memory = memory or Memory(None, None, None)
         self.tally, self.caps, self.on_change = Tally(), Caps(), None
         self.round_us = self.rounds = 0
-        grace_us = (router_settings.get("rules") or {}).get("stop_sending_within_us") or GRACE_US
+        grace_us = (router_settings.get("rules") or {}).get("stop_sending_within_us") or DEFAULT_DRAIN_GRACE_US
         self.guards = Guards(self.request_classes, grace_us, router_settings["limits"].get("second_copies", True), log)
         self.router = router(seed, router_settings, loop.clock.now_us())
         loop.after.append(self.turn)
 
-    # ---- from fronts
+    # ---- calls of fronts
 
     def submit(self, spec, listener):
-        """-> the Req, or None where `listener` was answered at once without one being taken."""
+        """Takes a call. Returns its Req, or None if `listener` was answered at once without one."""
         now = self.loop.clock.now_us()
         if self.draining or self.open >= self.limits.open_reqs:
-            return self.refuse(listener)
-        stay_us = self.caps.retry_after_us(now, spec.tenant)
-        if stay_us is not None:
+            return self.reject(listener)
+        retry_after_us = self.caps.retry_after_us(now, spec.tenant)
+        if retry_after_us is not None:
             self.counts["capped"] += 1
             self.tally.tenant(spec.tenant)["capped"] += 1
-            return self.refuse(listener, stay_us)
+            return self.reject(listener, retry_after_us)
         if spec.key is not None:
-            fact = self.request_classes[spec.group]
-            wide = {"replayable": "always", "keyed": "boxes" if fact.repeat_scope == "all" else ""}.get(fact.effect, "")
-            what, entry, latest = self.repeats.look_up(now, spec.key, spec.fingerprint, fact.repeat_window_us, wide)
-            if what == "full":
-                return self.refuse(listener)
-            if what == "conflict":
+            request_class = self.request_classes[spec.group]
+            wide = {"replayable": "always", "keyed": "boxes" if request_class.repeat_scope == "all" else ""}.get(
+                request_class.effect, ""
+            )
+            result, entry, latest_us = self.repeats.look_up(now, spec.key, spec.fingerprint, request_class.repeat_window_us, wide)
+            if result == "full":
+                return self.reject(listener)
+            if result == "conflict":
                 self.counts["not taken"] += 1
                 listener.on_conflict()
                 return None
-            if what == "doubt":
+            if result == "doubt":
                 self.counts["not taken"] += 1
                 listener.on_failed("An earlier try with this key may have had its effect, and it can't be known.")
                 return None
-            if what == "replay":
+            if result == "replay":
                 self.counts["replayed"] += 1
-                return self.play(entry.owner, listener)
-            if what == "join":
+                return self.replay(entry.owner, listener)
+            if result == "join":
                 self.counts["joined"] += 1
                 return self.join(entry.owner, spec, listener)
-            if latest is not None:
-                spec = spec._replace(expires_us=min(spec.expires_us, latest))
+            if latest_us is not None:
+                spec = spec._replace(expires_us=min(spec.expires_us, latest_us))
             spec = spec._replace(entry=entry)
             if not self.memory.can_accept(entry):
                 self.repeats.mark_never_ran(entry)
-                return self.refuse(listener)
+                return self.reject(listener)
             if self.memory.needs_record(entry):
-                self.memory.record_intent(entry)  # on its way to the disk while the req is read
-        self.count += 1
-        req = Req(self.count, spec, now)
+                self.memory.record_intent(entry)  # written to the disk while the prompt is read
+        self.req_count += 1
+        req = Req(self.req_count, spec, now)
         if spec.entry is not None:
             spec.entry.owner = req
         req.listeners.append(listener)
@@ -185,10 +195,11 @@
         return req
 
     def enqueue(self, req, bits):
+        """Sets the backstop timer of a request and passes the request to the router."""
         spec = req.spec
-        # The module answers before this; the backstop guards the client against a fault in it. It could harm only
-        # where the module would still have been in time, which the margin rules out.
-        req.backstop = self.loop.call_at(req.expires_us - self.margin_us // 3, self.backstop_due, req)
+        # The router answers earlier than this. The backstop protects the client from a fault in the router. It would do
+        # harm only if the router could still answer in time, which the margin rules out.
+        req.backstop_timer = self.loop.call_at(req.expires_us - self.margin_us // 3, self.backstop_due, req)
         self.events.append(
             (
                 "req",
@@ -206,12 +217,14 @@
             )
         )
 
-    def refuse(self, listener, stay_us=None):
+    def reject(self, listener, retry_after_us=None):
+        """Rejects a call that has no Req."""
         self.counts["not taken"] += 1
-        most = self.limits.max_come_back_ms * MS
-        listener.on_rejected(most if stay_us is None else min(most, stay_us))
+        max_us = self.limits.max_come_back_ms * MS
+        listener.on_rejected(max_us if retry_after_us is None else min(max_us, retry_after_us))
 
-    def play(self, answer, listener):
+    def replay(self, answer, listener):
+        """Gives `listener` the recorded answer to an earlier call with the same key."""
         if isinstance(answer, tuple):
             listener.on_server_answer(*answer)
             return None
@@ -222,70 +235,75 @@
         return None
 
     def join(self, req, spec, listener):
+        """Adds `listener` to the open request with the same key."""
         if req.streaming:
             listener.on_begin()
             for values, payloads in req.answer.events:
                 listener.on_events(values, payloads)
         else:
-            self.loop.call_at(spec.expires_us - self.margin_us, self.joiner_late, req, listener)
+            self.loop.call_at(spec.expires_us - self.margin_us, self.joiner_timed_out, req, listener)
         req.listeners.append(listener)
         return req
 
-    def joiner_late(self, req, listener):
+    def joiner_timed_out(self, req, listener):
+        """Ends a joined call whose deadline comes before the first token of the request that it joined."""
         if listener in req.listeners and not req.streaming and not req.over:
             req.listeners.remove(listener)
             listener.on_failed("The first try with this key still runs.")
-            self.nobody_left(req)
+            self.after_listener_left(req)
 
-    def left(self, req, listener):
-        """A listener's client has gone."""
+    def listener_left(self, req, listener):
+        """The client of `listener` has gone."""
         if req.over or listener not in req.listeners:
             return
         req.listeners.remove(listener)
-        self.nobody_left(req)
+        self.after_listener_left(req)
 
-    def nobody_left(self, req):
+    def after_listener_left(self, req):
+        """Ends a request without listeners as left by its client."""
         if req.listeners or req.over:
-            self.flow(req)
+            self.update_flow(req)
             return
         self.counts["left"] += 1
         self.end(req, "left", None)
         self.events.append(("client_left", req.rid))
-        # What was not sent yet is not sent any more, also where the settings let nothing that is out be taken back.
-        for number in [n for n, out in req.attempts.items() if out.forward is not None and out.forward.unsent]:
-            self.take_back(req, number, "moot")
+        # Attempts that are not sent yet are not sent any more, also if the settings forbid cancelling sent ones.
+        for number in [n for n, attempt in req.attempts.items() if attempt.handle is not None and attempt.handle.unsent]:
+            self.cancel_attempt(req, number, "moot")
         if req.answering_no is not None:
-            self.take_back(req, req.answering_no, "cancelled")
-
-    def drained(self, req):
-        """A listener that was full takes again."""
-        self.flow(req)
-
-    def flow(self, req):
-        """Reads from the box only while some listener takes: a slow client slows its box, and memory stays bounded."""
-        full = bool(req.listeners) and all(x.full for x in req.listeners)
-        out = req.attempts.get(req.answering_no)
-        if full != req.paused and out is not None and out.forward is not None:
+            self.cancel_attempt(req, req.answering_no, "cancelled")
+
+    def listener_ready(self, req):
+        """A listener that was full takes events again."""
+        self.update_flow(req)
+
+    def update_flow(self, req):
+        """Reads from the server only while some listener takes events: a slow client slows its server, and memory stays
+        bounded."""
+        full = bool(req.listeners) and all(listener.full for listener in req.listeners)
+        attempt = req.attempts.get(req.answering_no)
+        if full != req.paused and attempt is not None and attempt.handle is not None:
             req.paused = full
-            out.moved_us = self.loop.now
-            out.forward.pause() if full else out.forward.resume()
+            attempt.progress_us = self.loop.now
+            attempt.handle.pause() if full else attempt.handle.resume()
 
-    # ---- the Router's turn
+    # ---- rounds of the router
 
     def turn(self):
-        for _ in range(ROUNDS):
+        """Runs after each turn of the loop: passes new events to the router and cleans up requests that have ended."""
+        for _ in range(MAX_ROUNDS_PER_TURN):
             if not self.events:
                 break
             events, self.events = iter(self.events), []
             now = self.loop.clock.now_us()
             try:
                 self.router.round(now, events, self)
-            except Exception as problem:
-                # A fault in the module must not take the gateway with it: backstops still answer each req, and
-                # what came after the event that it failed on is heard in the next round. A list would be lost else.
+            except Exception as error:
+                # A fault in the router must not stop the gateway: backstops still answer each request. The events after
+                # the one that failed are passed in the next round, as otherwise a server list could be lost.
                 self.counts["faults"] += 1
                 self.events[:0] = events
-                self.lines.error("fault in the decisions", why=f"{type(problem).__name__}: {problem}", exc_info=True)
+                self.logger.error("fault in the decisions", why=f"{type(error).__name__}: {error}", exc_info=True)
             self.round_us += self.loop.clock.now_us() - now
             self.rounds += 1
         if self.events:
@@ -296,20 +314,20 @@
         if self.ended:
             for req in self.ended:
                 if not req.attempts:
-                    self.release(req.rid)  # guards rule 5 against a module that forgot; mostly nothing is held
+                    self.release(req.rid)  # in case the router forgot to; usually nothing is held
                     self.reqs.pop(req.rid, None)
             self.ended = [req for req in self.ended if req.rid in self.reqs]
             if self.draining and not self.reqs and self.on_idle:
                 self.on_idle()
 
-    # the writer that the module is given
+    # ---- the router's Writer
 
     def forward(self, rid, server, timeout_us, up_us=None):
         req = self.reqs.get(rid)
         if req is not None:
-            # Guards against an attempt for a client that went while the decisions took their time. Costs a read.
+            # Avoids an attempt for a client that left while the router decided. Costs a read of each client's socket.
             for listener in list(req.listeners):
-                listener.look()
+                listener.check_client()
         if req is None or req.over:
             self.events.append(("outcome", rid, req.attempts_sent if req else 0, server, "moot", 0, True, None, None))
             if req:
@@ -317,39 +335,39 @@
             return
         number, now = req.attempts_sent, self.loop.clock.now_us()
         req.attempts_sent += 1
-        if now >= req.expires_us:  # a process that was held up since the decisions read their clock
+        if now >= req.expires_us:  # the process was suspended after the router read its clock
             self.events.append(("outcome", rid, number, server, "moot", 0, False, None, None))
             return
         role = self.roles[self.kinds[server]]
         stage = "write" if req.state else "read" if role == "read" else "direct"
-        place = self.place_of(server)
-        if not self.guards.may_send(req, req.history, req.spec.group, server, place, stage != "read", now):
+        place = self.location_of(server)
+        if not self.guards.may_send(req, req.guard_history, req.spec.group, server, place, stage != "read", now):
             self.events.append(("outcome", rid, number, server, "moot", 0, False, None, None))
             return
-        self.guards.sent(req.history, number, place, stage != "read", now)
-        out = req.attempts[number] = Out(server, stage, now)
+        self.guards.attempt_sent(req.guard_history, number, place, stage != "read", now)
+        attempt = req.attempts[number] = OpenAttempt(server, stage, now)
         self.counts["forwards"] += 1
-        self.tally.sent(server)
+        self.tally.attempt_sent(server)
         req.held_since_us = None
         spec = req.spec
         key = None
         if stage != "read" and self.request_classes[spec.group].effect == "keyed":
-            # A call without a key gets one of its own, so that its further forwards are dropped as repeats.
+            # A call without a key gets one, so that servers drop its further attempts as repeats.
             key = (spec.key or f"{self.name}.{req.number}").encode()
         name = self.engine.state_name(self.name, req.rid, number)
         params, read_us = (req.state[1], req.state[3]) if req.state else (None, None)
-        # What can't run twice goes on a new connection: on a kept one that the box closes just now, nobody can tell
-        # whether it ran.
-        fresh = stage != "read" and self.request_classes[spec.group].effect == "non-replayable"
-        owner = AttemptListener(self, req, req.rid, number, out)
-        out.timer = self.loop.call_at(
-            min(now + timeout_us, req.expires_us - self.margin_us // 2), self.timed_out, req, req.rid, number
+        # A call that must not run twice gets a new connection: if the server closes a kept one in this instant, it can't
+        # be told whether the call ran.
+        new_connection = stage != "read" and self.request_classes[spec.group].effect == "non-replayable"
+        owner = AttemptListener(self, req, req.rid, number, attempt)
+        attempt.timer = self.loop.call_at(
+            min(now + timeout_us, req.expires_us - self.margin_us // 2), self.attempt_timed_out, req, req.rid, number
         )
 
         def send():
             if spec.entry is not None and stage != "read":
                 self.repeats.mark_sent(spec.entry, self.loop.clock.now_us())
-            out.forward = self.engine.start_attempt(
+            attempt.handle = self.engine.start_attempt(
                 owner,
                 server,
                 stage,
@@ -357,49 +375,50 @@
                 params,
                 name,
                 key,
-                fresh,
+                new_connection,
                 read_us,
-                out.timer.due_us - self.loop.clock.now_us(),
+                attempt.timer.due_us - self.loop.clock.now_us(),
                 None if up_us is None else now + up_us - self.loop.clock.now_us(),
             )
 
         if stage == "read" or spec.entry is None:
             send()
         else:
-            # What may have an effect is sent once its intent is on the disk: a gateway that is killed now would else not
-            # know of it when its client asks again.
-            out.forward = waiting = Waiting(name)
-            # Guards rule 5: the state must not stay held while a disk takes its time. Could harm where a disk takes so long all the
-            # time, which `when_lost: GO_ON` is for.
+            # An attempt that may have an effect is sent only after its intent is on the disk. Otherwise a gateway that is
+            # killed would not know of it when the client sends the call again.
+            attempt.handle = pending = PendingHandle(name)
+            # A state must not stay held while a disk is slow. This fails calls if the disk is always so slow, in which case
+            # `when_lost: GO_ON` should be set.
             self.loop.call_later(
                 self.settings.rules.let_go_ms * MS // 2,
                 lambda: (
-                    waiting.over
-                    or out.forward is not waiting
-                    or self.noted(req, rid, number, out, send, "the disk takes too long")
+                    pending.over
+                    or attempt.handle is not pending
+                    or self.intent_recorded(req, rid, number, attempt, send, "the disk takes too long")
                 ),
             )
-            self.memory.when_recorded(spec.entry, lambda why: self.noted(req, rid, number, out, send, why))
+            self.memory.when_recorded(spec.entry, lambda why: self.intent_recorded(req, rid, number, attempt, send, why))
 
-    def place_of(self, server):
-        """Its zone and cell, by the list as the decisions know it."""
+    def location_of(self, server):
+        """Returns zone and cell of a server, by the list that the router was given."""
         row = self.membership.told.get(server)
         return (row.zone, row.cell) if row is not None else (None, None)
 
-    def noted(self, req, rid, number, out, send, why):
-        if out.forward is None or out.forward.over:
+    def intent_recorded(self, req, rid, number, attempt, send, why):
+        """Sends an attempt whose intent is on the disk; with a reason `why` it is not, the attempt ends unsent."""
+        if attempt.handle is None or attempt.handle.over:
             return
         if why is None:
             send()
         else:
-            out.forward.over = True
-            self.lines.error("not sent: it can't be put down", req=req.number, why=why)
-            self.attempt_ended(req, rid, number, out, "moot", None, None)
+            attempt.handle.over = True
+            self.logger.error("not sent: it can't be put down", req=req.number, why=why)
+            self.attempt_ended(req, rid, number, attempt, "moot", None, None)
 
     def hold_place(self, rid, server):
         req = self.reqs.get(rid)
         if req is not None and not req.over:
-            number = max((n for n, o in req.attempts.items() if o.stage == "read"), default=0)
+            number = max((n for n, attempt in req.attempts.items() if attempt.stage == "read"), default=0)
             self.engine.hold_place(
                 server,
                 self.engine.state_name(self.name, rid),
@@ -408,28 +427,31 @@
             )
 
     def place_answered(self, req, rid, server, number, held):
-        """`held`: None where the server does not know."""
+        """Reports the response to a reservation to the router. `held` is None if the server can't tell."""
         if held is not None:
             self.events.append(("place", rid, server, number, held))
         if held is not False and self.engine.states_named_by_req and req.rid == rid:
-            req.left = server
-            self.forget(req)
+            req.leftover_server = server
+            self.schedule_cleanup(req)
 
     def release(self, rid):
         req = self.reqs.get(rid)
         if req is not None and self.engine.states_named_by_req and not req.over:
-            # It would reach its next read's state too, which has the same name; `turn` sends it once nothing is out.
+            # The state of the request's next read has the same name and would be released too. `turn` releases it once no
+            # attempt is in progress.
             if req.state is not None:
-                req.left, req.state = req.state[0], None
+                req.leftover_server, req.state = req.state[0], None
             return
-        if req is not None and (req.state is not None or req.left is not None and not req.attempts):
-            server, name = (req.state[0], req.state[2]) if req.state else (req.left, self.engine.state_name(self.name, rid))
+        if req is not None and (req.state is not None or req.leftover_server is not None and not req.attempts):
+            server, name = (
+                (req.state[0], req.state[2]) if req.state else (req.leftover_server, self.engine.state_name(self.name, rid))
+            )
             self.engine.release(server, name)
-            req.state = req.left = None
-            self.forget(req)
+            req.state = req.leftover_server = None
+            self.schedule_cleanup(req)
 
     def release_unclaimed(self, rid):
-        """Where servers drop by the request's name, and then only what no attempt waits for there."""
+        """Releases states that no attempt waits for. Only where the states of a request share its name."""
         req = self.reqs.get(rid)
         if req is not None and req.state is not None and self.engine.states_named_by_req:
             self.engine.release(req.state[0], req.state[2])
@@ -437,19 +459,19 @@
     def retract(self, rid, number):
         req = self.reqs.get(rid)
         if req is not None and number != req.answering_no:
-            self.take_back(req, number, "cancelled")
+            self.cancel_attempt(req, number, "cancelled")
 
     def move(self, rid):
         req = self.reqs.get(rid)
         if req is not None and req.answering_no is not None:
-            out = req.attempts[req.answering_no]
-            out.forward.cancel()
-            self.attempt_ended(req, rid, req.answering_no, out, "cancelled", None, None)
+            attempt = req.attempts[req.answering_no]
+            attempt.handle.cancel()
+            self.attempt_ended(req, rid, req.answering_no, attempt, "cancelled", None, None)
 
-    def push_back(self, rid, come_back_us):
+    def push_back(self, rid, retry_after_us):
         req = self.reqs.get(rid)
         if req is not None:
-            self.finish(req, "pushed back", come_back_us)
+            self.finish(req, "pushed back", retry_after_us)
 
     def abort(self, rid):
         req = self.reqs.get(rid)
@@ -457,9 +479,9 @@
             self.finish(req, "aborted", None)
 
     def timer(self, after_us, token):
-        self.loop.call_later(after_us, self.rings, token)
+        self.loop.call_later(after_us, self.timer_fired, token)
 
-    def rings(self, token):
+    def timer_fired(self, token):
         self.events.append(("timer", token))
 
     def probe(self, server):
@@ -472,7 +494,7 @@
         self.engine.pool.close_idle(address_of(server))
 
     def tell(self, peer, payload):
-        pass  # gateways share nothing; see docs/ROADMAP.md
+        pass  # gateways share no decisions; see docs/ROADMAP.md
 
     on_list_wanted = None
 
@@ -485,161 +507,168 @@
             self.on_list_wanted()
 
     def log(self, text):
-        self.lines.info("mode", text=text)
-        self.changed("mode", text=text)
+        self.logger.info("mode", text=text)
+        self.notify_change("mode", text=text)
 
-    def changed(self, kind, /, **fields):
+    def notify_change(self, kind, /, **fields):
         if self.on_change is not None:
             self.on_change(kind, **fields)
 
-    # ---- from boxes
+    # ---- calls of attempts
 
-    def on_first(self, req, rid, number, out):
+    def on_first(self, req, rid, number, attempt):
         if req.rid != rid:
-            return out.forward.cancel()
+            return attempt.handle.cancel()
         if req.over or req.answering_no is not None:
-            return self.take_back(req, number, "cancelled")  # another one was first
+            return self.cancel_attempt(req, number, "cancelled")  # another attempt was first
         now = self.loop.clock.now_us()
-        req.answering_no, out.moved_us = number, now
-        out.timer.cancel()
-        group = self.groups[req.spec.group]
-        out.timer = self.loop.call_later(group.stream_idle_ms * MS, self.look_idle, req, rid, number)
-        req.backstop.cancel()
-        if out.stage != "write" and req.state is not None:
-            req.left = req.state[0]
-        req.state = None  # its writer has fetched it
-        req.attempt_history.append(f"{out.stage} {out.server} first {(now - out.sent_us) // MS}")
-        self.tally.began(out.server, now - out.sent_us)
-        self.events.append(("first", rid, out.server, now - out.sent_us, number))
+        req.answering_no, attempt.progress_us = number, now
+        attempt.timer.cancel()
+        class_settings = self.class_settings[req.spec.group]
+        attempt.timer = self.loop.call_later(class_settings.stream_idle_ms * MS, self.check_idle, req, rid, number)
+        req.backstop_timer.cancel()
+        if attempt.stage != "write" and req.state is not None:
+            req.leftover_server = req.state[0]
+        req.state = None  # the writer has fetched it
+        req.attempt_history.append(f"{attempt.stage} {attempt.server} first {(now - attempt.sent_us) // MS}")
+        self.tally.attempt_began(attempt.server, now - attempt.sent_us)
+        self.events.append(("first", rid, attempt.server, now - attempt.sent_us, number))
         for other in [n for n in req.attempts if n != number]:
-            self.take_back(req, other, "cancelled")
+            self.cancel_attempt(req, other, "cancelled")
         if not req.streaming:
-            req.streaming, req.first_us = True, now
+            req.streaming, req.first_token_us = True, now
             self.tally.first_token.add(now - req.accepted_us)
             for listener in list(req.listeners):
                 listener.on_begin()
 
-    def on_events(self, req, rid, number, out, values, payloads):
-        out.moved_us = self.loop.now
+    def on_events(self, req, rid, number, attempt, values, payloads):
+        attempt.progress_us = self.loop.now
         if req.over:
             return
         if req.resumes:
-            values = [v for v in (resume.joined(v, req.answer.assembler, req.part) for v in values) if v]
+            values = [
+                value
+                for value in (resume.as_continued(value, req.answer.assembler, req.tokens_before) for value in values)
+                if value
+            ]
             if not values:
                 return
-            payloads = [orjson.dumps(v) for v in values]
+            payloads = [orjson.dumps(value) for value in values]
         req.answer.add(values, payloads)
         full = True
         for listener in req.listeners[:]:
             listener.on_events(values, payloads)
             full = full and listener.full
         if full or req.paused:
-            self.flow(req)
+            self.update_flow(req)
 
-    def timed_out(self, req, rid, number):
+    def attempt_timed_out(self, req, rid, number):
         if req.rid == rid and number != req.answering_no:
-            self.take_back(req, number, "timed_out")
+            self.cancel_attempt(req, number, "timed_out")
 
-    def look_idle(self, req, rid, number):
-        """A begun stream that brings nothing is broken, unless its own client holds it up."""
-        out = req.attempts.get(number) if req.rid == rid else None
-        if out is None:
+    def check_idle(self, req, rid, number):
+        """Cancels a begun stream that has brought nothing for too long, unless its client has paused it."""
+        attempt = req.attempts.get(number) if req.rid == rid else None
+        if attempt is None:
             return
-        idle_us = self.groups[req.spec.group].stream_idle_ms * MS
-        quiet = 0 if req.paused else self.loop.now - out.moved_us
-        if quiet >= idle_us:
-            return self.take_back(req, number, "timed_out")
-        out.timer = self.loop.call_later(idle_us - quiet, self.look_idle, req, rid, number)
-
-    def take_back(self, req, number, code):
-        out = req.attempts.get(number)
-        if out is not None:
-            out.forward.cancel()
-            self.attempt_ended(req, req.rid, number, out, code, None, out.forward.report)
-
-    def attempt_ended(self, req, rid, number, out, code, remark, report):
-        """The one place where a forward ends."""
+        idle_us = self.class_settings[req.spec.group].stream_idle_ms * MS
+        quiet_us = 0 if req.paused else self.loop.now - attempt.progress_us
+        if quiet_us >= idle_us:
+            return self.cancel_attempt(req, number, "timed_out")
+        attempt.timer = self.loop.call_later(idle_us - quiet_us, self.check_idle, req, rid, number)
+
+    def cancel_attempt(self, req, number, code):
+        attempt = req.attempts.get(number)
+        if attempt is not None:
+            attempt.handle.cancel()
+            self.attempt_ended(req, req.rid, number, attempt, code, None, attempt.handle.report)
+
+    def attempt_ended(self, req, rid, number, attempt, code, remark, report):
+        """Ends an attempt and reports its outcome. Every attempt ends here."""
         if req.rid != rid or req.attempts.pop(number, None) is None:
             return
-        out.timer.cancel()
-        self.guards.ended(req.history, number, code)
+        attempt.timer.cancel()
+        self.guards.attempt_ended(req.guard_history, number, code)
         now = self.loop.clock.now_us()
-        forward, begun = out.forward, number == req.answering_no
-        latency = now - out.sent_us
-        req.attempt_history.append(f"{out.stage} {out.server} {code} {latency // MS}")
-        self.tally.came(out.server, out.stage, code, latency, report)
+        handle, answering = attempt.handle, number == req.answering_no
+        latency_us = now - attempt.sent_us
+        req.attempt_history.append(f"{attempt.stage} {attempt.server} {code} {latency_us // MS}")
+        self.tally.attempt_ended(attempt.server, attempt.stage, code, latency_us, report)
         if code == "read":
-            # How long it would take again: a read that found most of its text kept does not tell.
-            fresh = req.tokens - (forward.cached or 0)
-            again_us = latency * req.tokens // fresh if fresh * 4 > req.tokens else None
-            req.state = (out.server, forward.params, forward.name, again_us)
+            # How long the read would take again. A read of which most was cached gives no estimate.
+            uncached_tokens = req.tokens - (handle.cached or 0)
+            repeat_us = latency_us * req.tokens // uncached_tokens if uncached_tokens * 4 > req.tokens else None
+            req.state = (attempt.server, handle.params, handle.name, repeat_us)
         if req.state is not None and not req.attempts:
             req.held_since_us = now
-        elif out.stage == "read" and code not in NEVER_RAN:
-            # It may have left a state behind that nobody will name again. Where states have their req's name a release
-            # drops all of them, so it waits until nothing of the req is out.
+        elif attempt.stage == "read" and code not in NEVER_RAN:
+            # The read may have left a state that nothing else will release. Where states have the name of their request, a
+            # release drops all of them, so it has to wait until no attempt of the request is in progress.
             if self.engine.states_named_by_req:
-                req.left = out.server
+                req.leftover_server = attempt.server
             else:
-                self.engine.release(out.server, forward.name)
+                self.engine.release(attempt.server, handle.name)
         if code == "full" and remark == 1:
-            # Its writer could not fetch it, which may be because the holder hangs with it still held.
+            # The writer could not fetch the state, perhaps because the server that still holds it hangs.
             self.release(rid)
-        ended = req.over or begun or code == "done"
+        ended = req.over or answering or code == "done"
         if report is not None and self.load_memory in report:
             report = {**report, "held": report[self.load_memory]}
-        self.events.append(("outcome", rid, number, out.server, code, latency, ended, remark, report))
+        self.events.append(("outcome", rid, number, attempt.server, code, latency_us, ended, remark, report))
         if report is not None and "draining" in report:
-            self.apply_membership(self.membership.said(out.server, report["draining"] > 0))
+            self.apply_membership(self.membership.said(attempt.server, report["draining"] > 0))
         if req.over:
-            self.forget(req)
+            self.schedule_cleanup(req)
         elif code == "done":
-            self.finish(req, "done", forward.answer)
-        elif begun:
-            self.broken(req, code)
-        out.forward = None  # a forward knows its owner: no cycle is left behind
-
-    def broken(self, req, code):
-        """A begun stream broke; its req is over for the module. The rest goes on as a new one, or it is aborted."""
-        group = self.groups[req.spec.group]
-        if not self.draining and resume.may_go_on(
-            self.request_classes[req.spec.group], group.resume, req.resumes, self.limits.resumes, req.answer.assembler
+            self.finish(req, "done", handle.answer)
+        elif answering:
+            self.stream_broken(req, code)
+        attempt.handle = None  # the handle refers to its owner: this leaves no reference cycle
+
+    def stream_broken(self, req, code):
+        """A begun stream broke, with which the request has ended for the router. The rest is asked for as a new request if
+        that is allowed, else the request fails."""
+        class_settings = self.class_settings[req.spec.group]
+        if not self.draining and resume.may_resume(
+            self.request_classes[req.spec.group], class_settings.resume, req.resumes, self.limits.resumes, req.answer.assembler
         ):
             self.reqs.pop(req.rid)
-            self.count += 1
+            self.req_count += 1
             self.counts["resumed"] += 1
             req.rid, req.resumes, req.answering_no, req.attempts_sent, req.state, req.paused = (
-                self.count,
+                self.req_count,
                 req.resumes + 1,
                 None,
                 0,
                 None,
                 False,
             )
-            req.history = History()
-            req.part = req.answer.assembler.tokens
-            req.raw = resume.rest_of(req.spec.call.raw, req.answer.assembler.content(), req.part)
-            req.tokens = req.spec.tokens + req.part
-            req.expires_us = self.loop.clock.now_us() + group.deadline_ms * MS
+            req.guard_history = History()
+            req.tokens_before = req.answer.assembler.tokens
+            req.raw = resume.continuation_of(req.spec.call.raw, req.answer.assembler.content(), req.tokens_before)
+            req.tokens = req.spec.tokens + req.tokens_before
+            req.expires_us = self.loop.clock.now_us() + class_settings.deadline_ms * MS
             self.reqs[req.rid] = req
             self.enqueue(req, 16)
         else:
             self.finish(req, "aborted", f"The stream from the model server broke off ({code}).")
 
     def backstop_due(self, req):
+        """Answers a request that the router has not answered in time."""
         if not req.over and req.answering_no is None:
-            self.turn()  # what came up in this very turn is for the decisions first: they may answer better
+            self.turn()  # events of this turn go to the router first: it may have a better answer
         if not req.over and req.answering_no is None:
             self.counts["backstop"] += 1
-            self.lines.error("backstop", req=req.number, trail=req.attempt_history)
+            self.logger.error("backstop", req=req.number, trail=req.attempt_history)
             rid = req.rid
             self.finish(req, "aborted", "No answer in time.")
             self.events.append(("client_left", rid))
 
-    # ---- the end
+    # ---- ending requests
 
     def finish(self, req, how, what):
-        """The final answer. It can't run twice: `end` closes the req first."""
+        """Gives the final answer, `how` being done, pushed back or aborted. It can't run twice, as `end` closes the request
+        first."""
         if not self.end(req, how, what):
             return
         listeners, req.listeners = req.listeners, []
@@ -654,10 +683,11 @@
                 listener.on_failed(what)
 
     def end(self, req, how, what):
+        """Closes a request: counts, logs, records the result and cancels its attempts. Returns False if it was closed."""
         if req.over:
             return False
         req.over = True
-        req.backstop.cancel()
+        req.backstop_timer.cancel()
         now = self.loop.clock.now_us()
         self.open -= 1
         tenant = self.tally.tenant(req.spec.tenant)
@@ -679,7 +709,7 @@
                 self.memory.record_outcome(entry, "doubt" if entry.state == "doubted" else "free", None)
         spec = req.spec
         if self.log_each_req:
-            self.lines.info(
+            self.logger.info(
                 "req",
                 req=req.number,
                 end=how,
@@ -687,87 +717,91 @@
                 tenant=spec.tenant,
                 prompt=spec.tokens,
                 tokens=req.answer.assembler.tokens,
-                first_ms=(req.first_us - req.accepted_us) // MS if req.first_us else None,
+                first_ms=(req.first_token_us - req.accepted_us) // MS if req.first_token_us else None,
                 ms=(now - req.accepted_us) // MS,
-                forwards=len([t for t in req.attempt_history if " first " not in t]),
+                forwards=len([item for item in req.attempt_history if " first " not in item]),
                 resumes=req.resumes or None,
                 trail="; ".join(req.attempt_history),
                 why=what if isinstance(what, str) else None,
             )
         self.ended.append(req)
         for number in [n for n in req.attempts if n != req.answering_no]:
-            if how != "left":  # then the module takes back what it wants taken back
-                self.take_back(req, number, "cancelled")
+            if how != "left":  # for a client that left, the router cancels what it wants cancelled
+                self.cancel_attempt(req, number, "cancelled")
         return True
 
-    def forget(self, req):
+    def schedule_cleanup(self, req):
+        """Has `turn` look again at a request that has ended."""
         if req.over and req not in self.ended:
             self.ended.append(req)
 
     # ---- membership
 
-    def apply_membership(self, news):
-        if news is None:
+    def apply_membership(self, event):
+        """Passes a `servers` event of the membership on to the router and all who keep data of servers."""
+        if event is None:
             return
-        for row in news[2]:
+        for row in event[2]:
             self.kinds[row.id] = row.kind
             self.tally.server(row.id).listed(row.started_us)
-            self.changed("box", box=row.id, mode=row.mode, why=self.membership.why(row.id))
-        self.events.append(news)
+            self.notify_change("box", box=row.id, mode=row.mode, why=self.membership.why(row.id))
+        self.events.append(event)
         now = self.loop.clock.now_us()
-        self.guards.listed(news[2], now)
-        if news[1] != "update":
-            self.guards.gone(self.kinds.keys() - self.membership.told.keys(), now)
-        if news[1] != "update" or any(row.mode != "ready" for row in news[2]):
+        self.guards.update_list(event[2], now)
+        if event[1] != "update":
+            self.guards.mark_gone(self.kinds.keys() - self.membership.told.keys(), now)
+        if event[1] != "update" or any(row.mode != "ready" for row in event[2]):
             self.withdraw_unsent()
-        if news[1] != "update":
+        if event[1] != "update":
             self.departed = self.kinds.keys() - self.membership.told.keys()
-        self.lines.info(
+        self.logger.info(
             "boxes",
-            kind=news[1],
-            ready=sum(r.mode == "ready" for r in self.membership.told.values()),
-            rows=[f"{r.id} {r.mode}" for r in news[2]][:20],
+            kind=event[1],
+            ready=sum(row.mode == "ready" for row in self.membership.told.values()),
+            rows=[f"{row.id} {row.mode}" for row in event[2]][:20],
         )
 
     def withdraw_unsent(self):
-        """Attempts that still wait for their connection to a server that drains or has left are rejected in its place:
-        they have not begun, and would begin after the grace. Could harm nothing: each is proved never to have run."""
+        """Ends attempts that still wait for a connection to a server that drains or has left, as if the server had refused
+        them: they would begin after the grace period. Safe, as it is proved that none of them ran."""
         told = self.membership.told
         for req in list(self.reqs.values()):
-            for number, out in list(req.attempts.items()):
-                row = told.get(out.server)
-                if (row is None or row.mode != "ready") and out.forward is not None and out.forward.unsent:
-                    self.take_back(req, number, "full")
+            for number, attempt in list(req.attempts.items()):
+                row = told.get(attempt.server)
+                if (row is None or row.mode != "ready") and attempt.handle is not None and attempt.handle.unsent:
+                    self.cancel_attempt(req, number, "full")
 
     def report_own_trouble(self, on):
-        """This machine can open no connection, or can again: the decisions hear of it."""
+        """Reports to the router that this machine can open no connection, or can again."""
         self.events.append(("own_trouble", on))
 
     def forget_departed(self):
-        """Drops what is kept of servers that have left, the others once their attempts have ended. Only once the decisions
-        have heard of it: an event before the news may still choose one of them."""
+        """Drops the data of servers that have left, once their attempts have ended. Runs only after the router was told that
+        they have left: until then it may still choose one of them."""
         for server in [server for server in self.departed if not self.tally.server(server).open_attempts]:
             self.departed.remove(server)
-            self.guards.off_us.pop(server, None)
+            self.guards.unavailable_since_us.pop(server, None)
             del self.kinds[server], self.tally.servers[server]
 
     def update_servers(self, rows):
+        """Takes a whole list of servers."""
         self.apply_membership(self.membership.list(rows, self.loop.clock.now_us()))
 
-    def records(self, source, rows):
-        """All that a source of records names now."""
-        doubts = self.membership.doubts()
+    def update_records(self, source, rows):
+        """Takes all servers that a source of DNS records names now."""
+        doubted = self.membership.doubts()
         self.apply_membership(self.membership.records(source, rows, self.loop.clock.now_us()))
         for name in self.membership.doubts():
-            if name not in doubts:
-                self.lines.warning("records doubted", source=name, named=len(rows))
-                self.changed("gateway", text=f"{name} lost most of its boxes at once and is doubted for now")
+            if name not in doubted:
+                self.logger.warning("records doubted", source=name, named=len(rows))
+                self.notify_change("gateway", text=f"{name} lost most of its boxes at once and is doubted for now")
 
-    def look_at_members(self):
+    def check_membership(self):
+        """Applies changes of the membership that are due by time."""
         self.apply_membership(self.membership.tick(self.loop.clock.now_us()))
 
-    def ask_drained(self):
-        """Boxes that said themselves that they drain: has that ended?"""
+    def probe_drained(self):
+        """Asks the servers that reported that they drain whether they still do."""
         for server in self.membership.to_ask():
             self.engine.probe(
                 server,
@@ -781,27 +815,28 @@
     # ---- draining
 
     def drain(self, limit_us, on_idle):
-        """Takes no more; `on_idle()` once nothing runs, at `limit_us` from now at the latest."""
+        """Takes no more calls. Calls `on_idle()` once no request is open, `limit_us` from now at the latest."""
         self.draining, self.on_idle = True, on_idle
         if not self.reqs:
             return on_idle()
-        self.loop.call_later(limit_us, self.cut_off)
+        self.loop.call_later(limit_us, self.abort_remaining)
 
-    def cut_off(self):
+    def abort_remaining(self):
+        """Fails all requests that are still open at the limit."""
         for req in list(self.reqs.values()):
             if not req.over:
                 rid = req.rid
                 self.finish(req, "aborted", "The gateway stops.")
                 if req.answering_no is not None:
-                    self.take_back(req, req.answering_no, "cancelled")
+                    self.cancel_attempt(req, req.answering_no, "cancelled")
                 self.events.append(("client_left", rid))
         self.turn()
         if self.on_idle:
-            self.loop.call_later(200 * MS, self.on_idle)  # releases are still on their way
+            self.loop.call_later(200 * MS, self.on_idle)  # releases may still be in progress
 
 
-class Waiting:
-    """Stands for a forward that is not sent yet."""
+class PendingHandle:
+    """Handle of an attempt that waits for its intent to be recorded."""
 
     report = answer = None
     unsent = True
@@ -819,18 +854,18 @@
 
 
 class AttemptListener:
-    """Hears one forward for the core."""
+    """Owner of one attempt at the engine: passes its events to the core."""
 
-    __slots__ = ("core", "req", "rid", "number", "out")
+    __slots__ = ("core", "req", "rid", "number", "attempt")
 
-    def __init__(self, core, req, rid, number, out):
-        self.core, self.req, self.rid, self.number, self.out = core, req, rid, number, out
+    def __init__(self, core, req, rid, number, attempt):
+        self.core, self.req, self.rid, self.number, self.attempt = core, req, rid, number, attempt
 
-    def on_first(self, forward):
-        self.core.on_first(self.req, self.rid, self.number, self.out)
+    def on_first(self, handle):
+        self.core.on_first(self.req, self.rid, self.number, self.attempt)
 
-    def on_events(self, forward, values, payloads):
-        self.core.on_events(self.req, self.rid, self.number, self.out, values, payloads)
+    def on_events(self, handle, values, payloads):
+        self.core.on_events(self.req, self.rid, self.number, self.attempt, values, payloads)
 
-    def on_outcome(self, forward, code, remark, report):
-        self.core.attempt_ended(self.req, self.rid, self.number, self.out, code, remark, report)
+    def on_outcome(self, handle, code, remark, report):
+        self.core.attempt_ended(self.req, self.rid, self.number, self.attempt, code, remark, report)
--- a/lapiswing/gateway/fronts/__init__.py
+++ b/lapiswing/gateway/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""What speaks to clients. A front turns its protocol into a Spec and listens to the one final answer."""
+"""Adapters of client protocols. A front makes a Spec of each call and listens for its events and final answer."""
--- a/lapiswing/gateway/fronts/chat.py
+++ b/lapiswing/gateway/fronts/chat.py
@@ -2,41 +2,47 @@
 
 import time
 
-from lapiswing.chat import DONE, InvalidCall, encode_event, error_body, joined, parse_call, without_usage
-from lapiswing.chat.errors import aborted, pushed_back
+from lapiswing.chat import DONE, InvalidCall, encode_event, error_body, join_events, parse_call, without_usage
+from lapiswing.chat.errors import failed, rejected
 from lapiswing.gateway.fronts.listener import Listener
 from lapiswing.gateway.fronts.mapping import UnknownApiKey
 
-SSE = [(b"content-type", b"text/event-stream; charset=utf-8"), (b"cache-control", b"no-store"), (b"x-accel-buffering", b"no")]
-NO_RETRY = (b"x-should-retry", b"false")
+EVENT_STREAM_FIELDS = [
+    (b"content-type", b"text/event-stream; charset=utf-8"),
+    (b"cache-control", b"no-store"),
+    (b"x-accel-buffering", b"no"),
+]
+NO_RETRY_FIELD = (b"x-should-retry", b"false")
 
 
 class ChatFront:
-    def __init__(self, core, mapper, ready=lambda: True, more=None):
-        """`more`: {path: function(exchange)} for further GETs."""
-        self.core, self.mapper, self.ready, self.more = core, mapper, ready, more or {}
-        self.started = int(time.time())
+    """Serves the chat API by HTTP requests to `app`."""
+
+    def __init__(self, core, mapper, ready=lambda: True, get_handlers=None):
+        """`get_handlers`: {path: function(exchange)} for further GETs; `ready()`: whether /healthz answers 200."""
+        self.core, self.mapper, self.ready, self.get_handlers = core, mapper, ready, get_handlers or {}
+        self.started_unix_s = int(time.time())
 
     def app(self, exchange):
         path, method = exchange.path, exchange.method
         if path == b"/v1/chat/completions":
             return self.completions(exchange) if method == b"POST" else self.not_allowed(exchange, b"POST")
-        get = method in (b"GET", b"HEAD")
-        if path in self.more:
-            return self.more[path](exchange) if get else self.not_allowed(exchange, b"GET, HEAD")
+        is_get = method in (b"GET", b"HEAD")
+        if path in self.get_handlers:
+            return self.get_handlers[path](exchange) if is_get else self.not_allowed(exchange, b"GET, HEAD")
         if path == b"/healthz":
             ok = self.ready()
             return exchange.json(200 if ok else 503, {"status": "ok" if ok else "draining"})
         if path == b"/v1/models" or path.startswith(b"/v1/models/"):
-            if not get:
+            if not is_get:
                 return self.not_allowed(exchange, b"GET, HEAD")
             return self.models(exchange, path[11:].decode("latin-1"))
-        self.wrong(exchange, 404, f"Unknown path {path.decode('latin-1')}", code="not_found")
+        self.respond_error(exchange, 404, f"Unknown path {path.decode('latin-1')}", code="not_found")
 
     def not_allowed(self, exchange, allow):
-        self.wrong(exchange, 405, "Method not allowed", code="method_not_allowed", more=[(b"allow", allow)])
+        self.respond_error(exchange, 405, "Method not allowed", code="method_not_allowed", more=[(b"allow", allow)])
 
-    def wrong(self, exchange, status, text, param=None, code=None, more=()):
+    def respond_error(self, exchange, status, text, param=None, code=None, more=()):
         exchange.respond(status, error_body(text, "invalid_request_error", code, param), more=more)
 
     def tenant(self, exchange):
@@ -53,12 +59,15 @@
     def models(self, exchange, name):
         if self.tenant(exchange) is None:
             return
-        rows = [{"id": m, "object": "model", "created": self.started, "owned_by": "lapiswing"} for m in self.mapper.models()]
+        rows = [
+            {"id": model, "object": "model", "created": self.started_unix_s, "owned_by": "lapiswing"}
+            for model in self.mapper.models()
+        ]
         if not name:
             return exchange.json(200, {"object": "list", "data": rows})
-        row = next((r for r in rows if r["id"] == name), None)
+        row = next((row for row in rows if row["id"] == name), None)
         if row is None:
-            return self.wrong(exchange, 404, f"The model `{name}` does not exist", "model", "model_not_found")
+            return self.respond_error(exchange, 404, f"The model `{name}` does not exist", "model", "model_not_found")
         exchange.json(200, row)
 
     def completions(self, exchange):
@@ -68,15 +77,17 @@
         try:
             call = parse_call(exchange.body)
             spec = self.mapper.spec(call, tenant, exchange.header, self.core.loop.clock.now_us())
-        except InvalidCall as problem:
-            found = problem.param != "model" or "does not exist" not in str(problem)
-            return self.wrong(exchange, 400 if found else 404, str(problem), problem.param, None if found else "model_not_found")
-        listener = (Streamed if call.stream else Whole)(exchange, call)
+        except InvalidCall as error:
+            model_known = error.param != "model" or "does not exist" not in str(error)
+            return self.respond_error(
+                exchange, 400 if model_known else 404, str(error), error.param, None if model_known else "model_not_found"
+            )
+        listener = (StreamedResponse if call.stream else WholeResponse)(exchange, call)
         listener.attach(self.core, self.core.submit(spec, listener))
 
 
 class ResponseWriter(Listener):
-    """What both forms of answer share."""
+    """The common part of whole and streamed responses."""
 
     def __init__(self, exchange, call):
         super().__init__(exchange)
@@ -91,23 +102,23 @@
                 "idempotency_key_reused",
                 "Idempotency-Key",
             ),
-            more=[NO_RETRY],
+            more=[NO_RETRY_FIELD],
         )
 
-    def on_rejected(self, come_back_us):
-        status, fields, body = pushed_back(come_back_us)
+    def on_rejected(self, retry_after_us):
+        status, fields, body = rejected(retry_after_us)
         self.exchange.respond(status, body, more=fields)
 
     def on_failed(self, why):
-        status, fields, body = aborted(why)
+        status, fields, body = failed(why)
         self.exchange.respond(status, body, more=fields)
 
     def on_server_answer(self, status, body):
-        self.exchange.respond(status, body, more=[NO_RETRY])
+        self.exchange.respond(status, body, more=[NO_RETRY_FIELD])
 
 
-class Whole(ResponseWriter):
-    full = False  # it takes everything until the end
+class WholeResponse(ResponseWriter):
+    full = False  # events are not written, so they need no room
 
     def on_begin(self):
         pass
@@ -119,15 +130,15 @@
         self.exchange.json(200, answer.assembler.completion())
 
 
-class Streamed(ResponseWriter):
+class StreamedResponse(ResponseWriter):
     def on_begin(self):
-        self.exchange.begin(200, SSE)
+        self.exchange.begin(200, EVENT_STREAM_FIELDS)
 
     def on_events(self, values, payloads):
         if not self.call.include_usage:
             payloads = without_usage(values, payloads)
         if payloads:
-            self.exchange.send(joined(payloads))
+            self.exchange.send(join_events(payloads))
 
     def on_done(self, answer):
         self.exchange.send(DONE)
@@ -136,7 +147,7 @@
     def on_failed(self, why):
         if not self.exchange.begun:
             return super().on_failed(why)
-        status, _, _ = aborted()
+        status, _, _ = failed()
         self.exchange.send(
             encode_event(
                 {"error": {"message": why or "The call failed.", "type": "server_error", "param": None, "code": "aborted"}}
--- a/lapiswing/gateway/fronts/mapping.py
+++ b/lapiswing/gateway/fronts/mapping.py
@@ -1,4 +1,5 @@
-"""How a call becomes a req: endpoint group, tenant, session, shared beginning, length, deadline, key. By settings."""
+"""Maps a call to a request by the settings: request class, tenant, conversation, shared prefix, length, deadline and
+idempotency key."""
 
 import hashlib
 
@@ -6,36 +7,40 @@
 from lapiswing.gateway.core import Spec
 
 MS = 1000
-MOST_DEADLINE_MS = 3_600_000
-KEY_BYTES = 255
+MAX_DEADLINE_MS = 3_600_000
+MAX_KEY_BYTES = 255
 
 
 class UnknownApiKey(Exception):
-    """No such API key."""
+    """The API key is missing or unknown."""
 
 
 def digest(texts):
+    """Returns a short hash of a list of texts."""
     return hashlib.blake2b("\0".join(texts).encode("utf-8", "surrogatepass"), digest_size=8).hexdigest()
 
 
 class Mapper:
+    """Holds the lookup tables of the mapping. A request class is a `group` of the settings."""
+
     def __init__(self, settings):
-        m = settings.mapping
-        self.settings, self.bytes_per_token, self.prefix_messages = settings, m.bytes_per_token, m.prefix_messages
+        mapping = settings.mapping
+        self.settings, self.bytes_per_token, self.prefix_messages = settings, mapping.bytes_per_token, mapping.prefix_messages
         self.group_header, self.session_header, self.deadline_header = (
-            h.lower().encode() for h in (m.group_header, m.session_header, m.deadline_header)
+            header.lower().encode() for header in (mapping.group_header, mapping.session_header, mapping.deadline_header)
         )
-        self.default_max = m.default_max_tokens
-        self.tenants = {key.encode(): i for i, t in enumerate(settings.tenant) for key in t.api_key}
-        self.by_header = {g.header_value.encode(): i for i, g in enumerate(settings.group) if g.header_value}
-        self.by_model = {m: i for i, g in reversed(list(enumerate(settings.group))) for m in g.model}
-        self.rest = next((i for i, g in enumerate(settings.group) if not g.model), None)
+        self.default_max_tokens = mapping.default_max_tokens
+        self.tenants = {key.encode(): i for i, tenant in enumerate(settings.tenant) for key in tenant.api_key}
+        self.by_header = {group.header_value.encode(): i for i, group in enumerate(settings.group) if group.header_value}
+        self.by_model = {model: i for i, group in reversed(list(enumerate(settings.group))) for model in group.model}
+        self.default_group = next((i for i, group in enumerate(settings.group) if not group.model), None)
 
     def models(self):
-        return sorted({m for g in self.settings.group for m in g.model}) or ["default"]
+        """Returns the names of the models that are served."""
+        return sorted({model for group in self.settings.group for model in group.model}) or ["default"]
 
     def tenant(self, authorization):
-        """-> tenant number. Raises UnknownApiKey. A gateway without tenants asks for no key."""
+        """Returns the number of the tenant. Raises UnknownApiKey. A gateway without tenants needs no API key."""
         if not self.tenants:
             return 0
         scheme, _, key = (authorization or b"").partition(b" ")
@@ -45,41 +50,42 @@
         return tenant
 
     def group(self, call, header):
-        named = header(self.group_header)
-        if named is not None:
-            if named not in self.by_header:
-                raise InvalidCall(f"No endpoint group `{named.decode('latin-1')}`", None)
-            return self.by_header[named]
-        group = self.by_model.get(call.model, self.rest)
+        """Returns the number of the request class, by header or else by model. Raises InvalidCall."""
+        header_value = header(self.group_header)
+        if header_value is not None:
+            if header_value not in self.by_header:
+                raise InvalidCall(f"No endpoint group `{header_value.decode('latin-1')}`", None)
+            return self.by_header[header_value]
+        group = self.by_model.get(call.model, self.default_group)
         if group is None:
             raise InvalidCall(f"The model `{call.model}` does not exist", "model")
         return group
 
     def spec(self, call, tenant, header, now_us):
-        """`header(name)` -> bytes or None. Raises InvalidCall."""
+        """Returns the Spec of a call. `header(name)` gives bytes or None. Raises InvalidCall."""
         group = self.group(call, header)
-        g = self.settings.group[group]
-        deadline_ms = g.deadline_ms
-        asked = header(self.deadline_header)
-        if asked is not None:
-            if not asked.isdigit() or not 0 < int(asked) <= MOST_DEADLINE_MS:
+        group_settings = self.settings.group[group]
+        deadline_ms = group_settings.deadline_ms
+        requested_ms = header(self.deadline_header)
+        if requested_ms is not None:
+            if not requested_ms.isdigit() or not 0 < int(requested_ms) <= MAX_DEADLINE_MS:
                 raise InvalidCall(f"{self.deadline_header.decode()} must be whole milliseconds", None)
-            deadline_ms = min(deadline_ms, int(asked))
+            deadline_ms = min(deadline_ms, int(requested_ms))
         key = header(b"idempotency-key")
         if key is not None:
-            if not key or len(key) > KEY_BYTES:
-                raise InvalidCall(f"Idempotency-Key must have 1 to {KEY_BYTES} characters", None)
+            if not key or len(key) > MAX_KEY_BYTES:
+                raise InvalidCall(f"Idempotency-Key must have 1 to {MAX_KEY_BYTES} characters", None)
             key = f"{tenant}/{group}/{key.decode('latin-1')}"
-        lead = call.texts[: self.prefix_messages] if len(call.texts) > self.prefix_messages else []
+        prefix_texts = call.texts[: self.prefix_messages] if len(call.texts) > self.prefix_messages else []
         session = header(self.session_header)
         if session:
             session = f"{tenant}/{session.decode('latin-1')}"
         else:
-            # A chat's next call brings all that went before: its beginning, up to the first words of its user, tells
-            # which chat it is.
+            # Each call of a conversation repeats all earlier messages, so its beginning, up to the first message of the
+            # user, identifies the conversation.
             session = digest([str(tenant), call.user or "", *call.texts[: self.prefix_messages + 1]])
-        # Asked-for streaming is not part of what is asked: a retry may want the same answer in the other form.
-        asked_for = {n: v for n, v in call.raw.items() if n not in ("stream", "stream_options")}
+        # Streaming is no part of the content: a retry may ask for the same answer in the other form.
+        content_fields = {name: value for name, value in call.raw.items() if name not in ("stream", "stream_options")}
         return Spec(
             group,
             tenant,
@@ -87,11 +93,11 @@
             estimate_prompt_tokens(call.texts, self.bytes_per_token),
             now_us + deadline_ms * MS,
             session,
-            digest(lead) if lead else None,
-            estimate_prompt_tokens(lead, self.bytes_per_token) if lead else 0,
-            call.max_tokens or self.default_max,
+            digest(prefix_texts) if prefix_texts else None,
+            estimate_prompt_tokens(prefix_texts, self.bytes_per_token) if prefix_texts else 0,
+            call.max_tokens or self.default_max_tokens,
             key,
-            hashlib.blake2b(repr(sorted(asked_for.items())).encode("utf-8", "surrogatepass"), digest_size=16).digest()
+            hashlib.blake2b(repr(sorted(content_fields.items())).encode("utf-8", "surrogatepass"), digest_size=16).digest()
             if key
             else b"",
         )
--- a/lapiswing/gateway/fronts/websocket.py
+++ b/lapiswing/gateway/fronts/websocket.py
@@ -1,24 +1,23 @@
-"""WebSocket sessions: GET /v1/chat/sessions (RFC 6455, over wsproto). The messages are docs/websocket.md's.
+"""The front for WebSocket sessions: GET /v1/chat/sessions (RFC 6455, over wsproto). docs/websocket.md defines the messages.
 
-The front owns connections and their messages; `sessions.Book` decides on limits, turns, credit and what a returning
-client gets. Each call becomes a req of the same core by the same mapping as the HTTP front's, and its final answer comes
-through the same listener interface."""
+The front handles connections and messages, while `sessions.Book` decides on limits, scheduling, credit and resumption. Calls
+are mapped to requests of the core as in the HTTP front, and answered through the same listener interface."""
 
 import time
 from zlib import crc32
 
 import msgspec
 import orjson
-from wsproto.connection import Connection as Frames
+from wsproto.connection import Connection as ProtocolConnection
 from wsproto.connection import ConnectionState, ConnectionType
 from wsproto.events import AcceptConnection, BytesMessage, CloseConnection, Ping, Request, TextMessage
 from wsproto.handshake import H11Handshake
 from wsproto.utilities import LocalProtocolError
-from wsproto.utilities import RemoteProtocolError as Rejected
+from wsproto.utilities import RemoteProtocolError as ProtocolError
 
 from lapiswing.chat import InvalidCall, error_body, without_usage
-from lapiswing.chat.call import call_of
-from lapiswing.chat.errors import aborted, pushed_back
+from lapiswing.chat.call import call_from_value
+from lapiswing.chat.errors import failed, rejected
 from lapiswing.gateway.fronts.mapping import UnknownApiKey
 from lapiswing.http1.wire import tokens
 from lapiswing.sessions import Book, Limits, Tokens
@@ -26,8 +25,8 @@
 
 MS = 1000
 PROTOCOL = "lapiswing.chat.v1"
-TURN_BYTES = 262144  # sent to all sessions in one turn of the loop; the rest waits for the next
-ADVICE = {
+MAX_TURN_BYTES = 262144  # sent to all sessions in one turn of the loop
+RETRY_ADVICE = {
     pb.REPLAYABLE: "It is safe to call again.",
     pb.KEYED: "Call again with the same Idempotency-Key within its window, at the same gateway if it lives.",
     pb.NON_REPLAYABLE: "It may have run: don't call again.",
@@ -35,7 +34,7 @@
 
 
 class Message(msgspec.Struct):
-    """What a client may say."""
+    """A message of a client. `type` determines which other fields are used."""
 
     type: str
     id: str | None = None
@@ -50,38 +49,40 @@
 
 
 class SessionFront:
-    def __init__(self, core, mapper, settings, life, fair=True):
-        s = settings.sessions
-        self.core, self.loop, self.mapper, self.settings = core, core.loop, mapper, s
+    """All WebSocket sessions and connections of a gateway. `process_name` is put into resumption tokens."""
+
+    def __init__(self, core, mapper, settings, process_name, fair=True):
+        limits = settings.sessions
+        self.core, self.loop, self.mapper, self.settings = core, core.loop, mapper, limits
         self.book = Book(
             Limits(
-                s.per_tenant,
-                s.total,
-                s.reqs,
-                s.session_bytes,
-                s.total_bytes,
-                s.resume_ms * MS,
-                s.idle_ms * MS,
-                s.stall_ms * MS,
+                limits.per_tenant,
+                limits.total,
+                limits.reqs,
+                limits.session_bytes,
+                limits.total_bytes,
+                limits.resume_ms * MS,
+                limits.idle_ms * MS,
+                limits.stall_ms * MS,
                 settings.limits.max_come_back_ms * MS,
             ),
             fair,
         )
-        self.tokens = Tokens(list(s.token_key), life, max(60, s.resume_ms // 1000 * 4 + s.idle_ms // 1000))
+        self.tokens = Tokens(list(limits.token_key), process_name, max(60, limits.resume_ms // 1000 * 4 + limits.idle_ms // 1000))
         self.connections, self.draining = set(), False
         self.counts = {"opened": 0, "resumed": 0, "refused": 0, "dropped": 0, "ended": 0}
-        self.advice = {g.name: ADVICE[g.effect] for g in settings.group}
+        self.advice = {group.name: RETRY_ADVICE[group.effect] for group in settings.group}
         self.loop.after.append(self.turn)
-        self.timer = self.loop.call_later(1000 * MS, self.sweep)
+        self.timer = self.loop.call_later(1000 * MS, self.check_timeouts)
 
     # ---- opening
 
     def open(self, exchange):
-        """The request for an upgrade."""
+        """Handles a request for an upgrade."""
 
-        def refuse(status, text, code, more=()):
+        def refuse(status, text, code, fields=()):
             self.counts["refused"] += 1
-            exchange.respond(status, error_body(text, "invalid_request_error", code), more=more)
+            exchange.respond(status, error_body(text, "invalid_request_error", code), more=fields)
 
         if exchange.method != b"GET":
             return refuse(405, "Method not allowed", "method_not_allowed", [(b"allow", b"GET")])
@@ -94,97 +95,110 @@
         except UnknownApiKey:
             return refuse(401, "Incorrect API key provided.", "invalid_api_key")
         if self.draining and not self.unfinished():
-            status, fields, body = pushed_back(self.book.limits.come_back_us)
+            status, fields, body = rejected(self.book.limits.retry_after_us)
             return exchange.respond(status, body, more=fields)
         offered = [
-            p.strip() for n, v in exchange.fields if n == b"sec-websocket-protocol" for p in v.decode("latin-1").split(",")
+            protocol.strip()
+            for name, value in exchange.fields
+            if name == b"sec-websocket-protocol"
+            for protocol in value.decode("latin-1").split(",")
         ]
         if offered and PROTOCOL not in offered:
             return refuse(400, f"Only the subprotocol {PROTOCOL} is spoken here.", "unknown_subprotocol")
         handshake = H11Handshake(ConnectionType.SERVER)
         try:
             handshake.initiate_upgrade_connection(
-                [(n, v) for n, v in exchange.fields if n not in (b"content-length",)], exchange.target.decode("latin-1")
+                [(name, value) for name, value in exchange.fields if name not in (b"content-length",)],
+                exchange.target.decode("latin-1"),
             )
             request = next(handshake.events())
             if not isinstance(request, Request):
-                raise Rejected("no request")
+                raise ProtocolError("no request")
             answer = handshake.send(AcceptConnection(subprotocol=PROTOCOL if offered else None))
-        except (Rejected, LocalProtocolError, StopIteration) as problem:
-            return refuse(400, f"Not a WebSocket handshake: {problem}", "bad_handshake", [(b"sec-websocket-version", b"13")])
+        except (ProtocolError, LocalProtocolError, StopIteration) as error:
+            return refuse(400, f"Not a WebSocket handshake: {error}", "bad_handshake", [(b"sec-websocket-version", b"13")])
         Connection(self, exchange, tenant, answer)
 
-    # ---- turns
+    # ---- sending and time limits
 
     def turn(self):
-        if self.book.ring:
-            for session, stream, item in self.book.turn(TURN_BYTES, self.loop.now):
+        """Sends what the sessions have ready, after each turn of the loop."""
+        if self.book.ready_sessions:
+            for session, stream, item in self.book.turn(MAX_TURN_BYTES, self.loop.now):
                 session.owner.send_item(stream, item)
-            if self.book.ring:
+            if self.book.ready_sessions:
                 self.loop.soon(lambda: None)
 
-    def sweep(self):
-        self.timer = self.loop.call_later(1000 * MS, self.sweep)
+    def check_timeouts(self):
+        """Ends expired sessions, starved streams and dead connections. Runs once a second."""
+        self.timer = self.loop.call_later(1000 * MS, self.check_timeouts)
         now = self.loop.now
-        for session, why in self.book.quiet(now):
+        for session, _reason in self.book.expired(now):
             if session.owner is not None:
                 session.owner.close(1000, "idle")
             self.end(session)
         for session, stream in self.book.starved(now):
             self.cancel(session, stream, "No credit was granted in time.")
         for conn in list(self.connections):
-            self.loop.guard(conn.stream, conn.overdue, now)
+            self.loop.guard(conn.stream, conn.check_overdue, now)
 
     def end(self, session):
-        """For good: what still runs for it counts as left by its client."""
+        """Ends a session. Its open requests count as left by their client."""
         self.counts["ended"] += 1
         for stream in self.book.close(session):
             stream.over = True
             if stream.req is not None:
-                self.core.left(stream.req, stream.listener)
+                self.core.listener_left(stream.req, stream.listener)
 
     def cancel(self, session, stream, why):
+        """Ends a stream as failed, and its request as left by the client."""
         if stream.over:
             return
         req, listener = stream.req, stream.listener
-        self.book.cut(session, stream)
+        self.book.drop_unsent(session, stream)
         listener.on_failed(why)
         if req is not None:
-            self.core.left(req, listener)
+            self.core.listener_left(req, listener)
 
     # ---- draining
 
     def drain(self, limit_us):
-        """Sends sessions elsewhere, spread over time so that they don't all arrive in one second. A session with reqs
-        stays until they have ended, or to the limit."""
+        """Closes all connections, spread over time so that the clients don't all reconnect elsewhere in one second. A session
+        with open requests stays until these have ended, or until the limit."""
         self.draining = True
-        spread = min(self.settings.spread_ms * MS, max(0, limit_us - 500 * MS))
+        spread_us = min(self.settings.spread_ms * MS, max(0, limit_us - 500 * MS))
         now = self.loop.clock.now_us()
         for conn in list(self.connections):
-            after = spread * crc32(b"%d/%d" % (conn.session.id if conn.session else 0, conn.number)) // (1 << 32)
-            conn.say(b'{"type":"going_away","in_ms":%d}' % (after // MS))
-            self.loop.call_at(now + after, self.send_away, conn, now + limit_us - 300 * MS)
+            delay_us = spread_us * crc32(b"%d/%d" % (conn.session.id if conn.session else 0, conn.number)) // (1 << 32)
+            conn.send_message(b'{"type":"going_away","in_ms":%d}' % (delay_us // MS))
+            self.loop.call_at(now + delay_us, self.close_drained, conn, now + limit_us - 300 * MS)
 
     def unfinished(self):
-        """Whether a session has something to come back for, now or when its link drops."""
-        return any(not x.over or x.items for s in self.book.sessions.values() for x in s.streams.values())
+        """Whether any session has an answer for which its client might have to reconnect."""
+        return any(
+            not stream.over or stream.items for session in self.book.sessions.values() for stream in session.streams.values()
+        )
 
-    def send_away(self, conn, latest):
+    def close_drained(self, conn, latest_us):
+        """Closes a connection once its session has nothing more to send, at `latest_us` in any case."""
         if conn.stream.closed:
             return
-        open_ones = conn.session is not None and any(not s.over or s.unsent for s in conn.session.streams.values())
-        if open_ones and self.loop.clock.now_us() < latest:
-            return self.loop.call_later(50 * MS, self.send_away, conn, latest)
-        conn.close(1012, "going away", wait=True)
+        unfinished = conn.session is not None and any(
+            not stream.over or stream.unsent for stream in conn.session.streams.values()
+        )
+        if unfinished and self.loop.clock.now_us() < latest_us:
+            return self.loop.call_later(50 * MS, self.close_drained, conn, latest_us)
+        conn.close(1012, "going away", await_reply=True)
 
     def close(self):
+        """Closes all connections at once."""
         self.timer.cancel()
         for conn in list(self.connections):
             conn.stream.abort()
 
 
 class Connection:
-    """Owner of an upgraded stream."""
+    """A WebSocket connection: the owner of an upgraded stream."""
 
     count = 0
 
@@ -193,69 +207,70 @@
         self.front, self.tenant, self.number = front, tenant, Connection.count
         self.loop, self.session = front.loop, None
         self.server, self.stream = exchange.conn.server, exchange.conn.stream
-        self.frames = Frames(ConnectionType.SERVER)
-        self.parts, self.size, self.closing = [], 0, False
-        self.heard_us = self.pinged_us = self.loop.now
+        self.protocol = ProtocolConnection(ConnectionType.SERVER)
+        self.message_parts, self.message_size, self.closing = [], 0, False
+        self.last_received_us = self.last_ping_us = self.loop.now
         rest = exchange.upgrade(self)
         front.connections.add(self)
         self.stream.write(answer)
-        self.loop.call_later(300 * MS, self.greet)  # a client that resumes says so first
+        self.loop.call_later(300 * MS, self.open_session)  # by then a client has sent its `resume`, if it resumes a session
         if rest:
             self.on_data(rest)
 
-    # ---- the stream's owner
+    # ---- calls of the stream
 
     def on_data(self, data):
-        if self.closing and not self.waits:
+        if self.closing and not self.awaits_close:
             return
-        self.heard_us = self.loop.now
+        self.last_received_us = self.loop.now
         try:
-            self.frames.receive_data(data)
-            for event in self.frames.events():
-                if self.waits:
+            self.protocol.receive_data(data)
+            for event in self.protocol.events():
+                if self.awaits_close:
                     if isinstance(event, CloseConnection):
-                        self.over()
+                        self.close_stream()
                         return
                     continue
-                self.take(event)
-                if self.closing and not self.waits:
+                self.handle_event(event)
+                if self.closing and not self.awaits_close:
                     return
-        except Rejected as problem:
-            hint = getattr(problem, "event_hint", None)
+        except ProtocolError as error:
+            hint = getattr(error, "event_hint", None)
             code = hint.code if isinstance(hint, CloseConnection) else 1002
-            self.close(code, str(problem)[:100])
+            self.close(code, str(error)[:100])
 
-    def take(self, event):
+    def handle_event(self, event):
+        """Handles an event of the WebSocket protocol."""
         if isinstance(event, TextMessage):
-            self.size += len(event.data)
-            if self.size > self.front.settings.message_bytes:
+            self.message_size += len(event.data)
+            if self.message_size > self.front.settings.message_bytes:
                 return self.close(1009, "message too long")
-            self.parts.append(event.data)
+            self.message_parts.append(event.data)
             if event.message_finished:
-                text, self.parts, self.size = "".join(self.parts), [], 0
-                self.message(text)
+                text, self.message_parts, self.message_size = "".join(self.message_parts), [], 0
+                self.handle_message(text)
         elif isinstance(event, BytesMessage):
             self.close(1003, "text messages only")
         elif isinstance(event, Ping):
-            if not self.stream.full:  # who pings and never reads gets no more pongs
-                self.stream.write(self.frames.send(event.response()))
+            if not self.stream.full:  # a client that never reads gets no more pongs
+                self.stream.write(self.protocol.send(event.response()))
         elif isinstance(event, CloseConnection):
-            if self.frames.state is ConnectionState.OPEN:  # not the client's word: its frames are wrong
+            if self.protocol.state is ConnectionState.OPEN:  # not sent by the client: its frames violate the protocol
                 return self.close(event.code, event.reason)
-            if self.frames.state is ConnectionState.REMOTE_CLOSING:
-                self.stream.write(self.frames.send(event.response()))
-            # A client that closes in order has no wish to come back, unless it says that it goes away.
-            self.over(event.code == 1000)
+            if self.protocol.state is ConnectionState.REMOTE_CLOSING:
+                self.stream.write(self.protocol.send(event.response()))
+            # A normal closure ends the session; with any other code the client may resume it.
+            self.close_stream(event.code == 1000)
         if self.stream.full:
             self.stream.pause()
 
-    def over(self, ended=True):
-        """The closing handshake is done."""
+    def close_stream(self, ended=True):
+        """Closes the stream after the closing handshake. `ended`: whether the session ends with it."""
         if ended and self.session is not None:
             session, self.session = self.session, None
             session.owner = None
             self.front.end(session)
-        self.closing, self.waits = True, False
+        self.closing, self.awaits_close = True, False
         self.stream.close()
 
     def on_eof(self):
@@ -268,157 +283,166 @@
         if session is not None and session.owner is self:
             session.owner = None
             self.front.counts["dropped"] += 1
-            self.front.book.dropped(session, self.loop.now)
+            self.front.book.connection_lost(session, self.loop.now)
 
     def on_drained(self):
         self.stream.resume()
         if self.session is not None:
-            self.front.book.writable(self.session, True)
-            self.free_boxes()
+            self.front.book.set_writable(self.session, True)
+            self.resume_streams()
 
-    def overdue(self, now):
-        s = self.front.settings
+    def check_overdue(self, now):
+        """Aborts a connection that is stalled or silent for too long, and sends a ping where one is due."""
+        settings = self.front.settings
         if (
             self.stream.waiting
-            and now - self.stream.moved_us > s.stall_ms * MS
+            and now - self.stream.moved_us > settings.stall_ms * MS
             or self.closing
-            and (now - self.heard_us > 5_000_000)
+            and (now - self.last_received_us > 5_000_000)
         ):
             return self.stream.abort()
-        if now - self.heard_us > 2 * s.ping_ms * MS + 5_000_000:
-            return self.stream.abort()  # gone without a word; it may come back
-        if now - max(self.heard_us, self.pinged_us) > s.ping_ms * MS and not self.closing:
-            self.pinged_us = now
-            self.stream.write(self.frames.send(Ping(b"")))
+        if now - self.last_received_us > 2 * settings.ping_ms * MS + 5_000_000:
+            return self.stream.abort()  # the client may still resume its session
+        if now - max(self.last_received_us, self.last_ping_us) > settings.ping_ms * MS and not self.closing:
+            self.last_ping_us = now
+            self.stream.write(self.protocol.send(Ping(b"")))
 
-    # ---- saying
+    # ---- sending
 
-    def say(self, data):
+    def send_message(self, data):
+        """Sends a text message."""
         if not self.closing and not self.stream.closed:
-            self.stream.write(self.frames.send(TextMessage(data.decode())))
+            self.stream.write(self.protocol.send(TextMessage(data.decode())))
 
-    def close(self, code, why, wait=False):
-        """With `wait` the stream stays until the client has answered the close: then it has read all that came before,
-        and its session is over."""
+    def close(self, code, why, await_reply=False):
+        """Starts the closing handshake. With `await_reply` the stream stays open until the client has replied: then the client
+        has read everything, and its session ends."""
         if self.closing:
             return
-        self.closing, self.waits = True, wait
+        self.closing, self.awaits_close = True, await_reply
         try:
-            self.stream.write(self.frames.send(CloseConnection(code, why)))
+            self.stream.write(self.protocol.send(CloseConnection(code, why)))
         except LocalProtocolError:
-            self.waits = False  # the client's close came first
-        if not self.waits:
+            self.awaits_close = False  # the client has already closed
+        if not self.awaits_close:
             self.stream.close()
 
-    waits = False
+    awaits_close = False
 
     def error(self, code, text, rid=None):
-        self.say(orjson.dumps({"type": "error", "id": rid, "code": code, "message": text}))
+        """Sends an error message."""
+        self.send_message(orjson.dumps({"type": "error", "id": rid, "code": code, "message": text}))
 
     def send_item(self, stream, item):
+        """Sends an item of a stream."""
         rid = orjson.dumps(stream.id)
         if item.final:
-            self.say(b'{"type":"final","id":%b,"seq":%d,%b}' % (rid, item.first, item.data))
+            self.send_message(b'{"type":"final","id":%b,"seq":%d,%b}' % (rid, item.first_seq, item.data))
         else:
-            self.say(b'{"type":"events","id":%b,"seq":%d,"chunks":[%b]}' % (rid, item.first, item.data))
+            self.send_message(b'{"type":"events","id":%b,"seq":%d,"chunks":[%b]}' % (rid, item.first_seq, item.data))
         if self.stream.full:
-            self.front.book.writable(self.session, False)
+            self.front.book.set_writable(self.session, False)
         if stream.req is not None:
-            self.front.core.drained(stream.req)
+            self.front.core.listener_ready(stream.req)
 
-    def free_boxes(self):
+    def resume_streams(self):
+        """Lets the core read from the servers of the open streams again."""
         for stream in list(self.session.streams.values()):
             if stream.req is not None and not stream.over:
-                self.front.core.drained(stream.req)
+                self.front.core.listener_ready(stream.req)
 
     # ---- messages
 
-    def message(self, text):
+    def handle_message(self, text):
+        """Handles a whole text message of the client."""
         try:
             message = msgspec.json.decode(text, type=Message)
-        except msgspec.DecodeError as problem:
-            return self.error("bad_message", str(problem))
+        except msgspec.DecodeError as error:
+            return self.error("bad_message", str(error))
         if message.type == "resume":
             return self.resume(message)
         if message.type == "ping":
-            return self.say(orjson.dumps({"type": "pong", "data": message.data}))
-        if self.session is None and not self.greet():
+            return self.send_message(orjson.dumps({"type": "pong", "data": message.data}))
+        if self.session is None and not self.open_session():
             return None
         handle = {"call": self.call, "cancel": self.cancel, "credit": self.credit, "seen": self.seen}.get(message.type)
         if handle is None:
             return self.error("unknown_type", f"{message.type!r} is none of call, cancel, credit, seen, resume, ping")
         if not isinstance(message.id, str) or not 0 < len(message.id) <= 128:
             return self.error("bad_message", "`id` must have 1 to 128 characters")
-        self.session.heard_us = self.loop.now
+        self.session.last_received_us = self.loop.now
         return handle(message)
 
-    def greet(self):
-        """Starts a new session, unless there is one."""
+    def open_session(self):
+        """Opens a session unless there is one. Returns whether there is one then."""
         if self.session is not None or self.closing or self.stream.closed:
             return self.session is not None
         book = self.front.book
-        session, come_back = None, book.limits.come_back_us
+        session, retry_after_us = None, book.limits.retry_after_us
         if not self.front.draining:
-            session, come_back = book.open(self.loop.now, self.tenant)
+            session, retry_after_us = book.open(self.loop.now, self.tenant)
         if session is None:
-            self.error("draining" if self.front.draining else "too_many_sessions", f"Come back in {come_back // MS} ms.")
-            self.close(1013, f"come back in {come_back // MS} ms")
+            self.error("draining" if self.front.draining else "too_many_sessions", f"Come back in {retry_after_us // MS} ms.")
+            self.close(1013, f"come back in {retry_after_us // MS} ms")
             return False
         self.front.counts["opened"] += 1
-        self.begin(session, {})
+        self.attach_session(session, {})
         return True
 
-    def begin(self, session, following):
+    def attach_session(self, session, next_seqs):
+        """Ties a session to this connection and sends its parameters to the client."""
         self.session, session.owner = session, self
-        s = self.front.settings
+        settings = self.front.settings
         token = self.front.tokens.make(session.id, self.tenant, int(time.time()))
-        self.say(
+        self.send_message(
             orjson.dumps(
                 {
                     "type": "session",
                     "token": token,
-                    "resume_ms": s.resume_ms,
-                    "next": following,
-                    "limits": {"reqs": s.reqs, "message_bytes": s.message_bytes, "idle_ms": s.idle_ms},
+                    "resume_ms": settings.resume_ms,
+                    "next": next_seqs,
+                    "limits": {"reqs": settings.reqs, "message_bytes": settings.message_bytes, "idle_ms": settings.idle_ms},
                 }
             )
         )
 
     def resume(self, message):
+        """Resumes the session of a token, or opens a new one if it can't be resumed."""
         if self.session is not None:
             return self.error("too_late", "`resume` must be the first message")
         why, number = self.front.tokens.read(message.token or "", self.tenant, int(time.time()))
         session = self.front.book.sessions.get(number) if why == "good" else None
         if session is None:
             code = {"good": "session_over", "other gateway": "other_gateway"}.get(why, "bad_token")
-            self.say(
+            self.send_message(
                 orjson.dumps({"type": "not_resumed", "code": code, "advice": self.front.advice if code != "bad_token" else {}})
             )
-            return self.greet()
-        if session.owner is not None:  # the later connection has it: the earlier may be half dead
+            return self.open_session()
+        if session.owner is not None:  # the newer connection takes over: the older one may be dead
             old, old_session = session.owner, session.owner.session
             old.session = None
             old.close(4001, "resumed on another connection")
-            self.front.book.dropped(old_session, self.loop.now)
-        following, gaps = self.front.book.resume(session, message.seen, self.loop.now)
+            self.front.book.connection_lost(old_session, self.loop.now)
+        next_seqs, gaps = self.front.book.resume(session, message.seen, self.loop.now)
         self.front.counts["resumed"] += 1
-        self.begin(session, following)
+        self.attach_session(session, next_seqs)
         for stream in gaps:
             if stream.req is not None:
-                self.front.core.left(stream.req, stream.listener)
-        self.free_boxes()
+                self.front.core.listener_left(stream.req, stream.listener)
+        self.resume_streams()
         return None
 
     def call(self, message):
+        """Opens a stream and hands its call to the core."""
         book, session = self.front.book, self.session
         credit = message.credit if message.credit is None else max(0, message.credit)
-        stream, why = book.call(session, message.id, credit)
+        stream, why = book.open_stream(session, message.id, credit)
         if stream is None:
             if why == "duplicate":
                 return self.error("duplicate_id", "This id is in use.", message.id)
-            # The req was not taken; its id is free.
-            status, _, body = pushed_back(book.limits.come_back_us)
-            return self.say(
+            # The call was not accepted, so its id stays free.
+            status, _, body = rejected(book.limits.retry_after_us)
+            return self.send_message(
                 orjson.dumps(
                     {
                         "type": "final",
@@ -426,57 +450,60 @@
                         "seq": 1,
                         "how": "pushed_back",
                         "status": status,
-                        "retry_after_ms": book.limits.come_back_us // MS,
+                        "retry_after_ms": book.limits.retry_after_us // MS,
                         **orjson.loads(body),
                     }
                 )
             )
         stream.listener = listener = SessionListener(self.front, session, stream)
-        headers = {k.lower().encode(): v.encode() for k, v in message.headers.items()}
+        headers = {name.lower().encode(): value.encode() for name, value in message.headers.items()}
         try:
-            call = call_of(message.body if message.body is not None else {})
+            call = call_from_value(message.body if message.body is not None else {})
             listener.whole = not call.stream
-            listener.usage = call.include_usage
+            listener.include_usage = call.include_usage
             spec = self.front.mapper.spec(call, self.tenant, headers.get, self.loop.clock.now_us())
-        except InvalidCall as problem:
-            return listener.on_wrong(400, orjson.loads(error_body(str(problem), "invalid_request_error", None, problem.param)))
+        except InvalidCall as error:
+            return listener.on_invalid(400, orjson.loads(error_body(str(error), "invalid_request_error", None, error.param)))
         stream.req = self.front.core.submit(spec, listener)
         return None
 
     def cancel(self, message):
+        """Cancels a stream."""
         stream = self.session.streams.get(message.id)
         if stream is not None:
             self.front.cancel(self.session, stream, "Cancelled by its client.")
 
     def credit(self, message):
+        """Grants credit to a stream."""
         if not message.events or message.events < 0:
             return self.error("bad_message", "`events` must be a number above 0", message.id)
-        stream = self.front.book.credit(self.session, message.id, message.events, self.loop.now)
+        stream = self.front.book.grant_credit(self.session, message.id, message.events, self.loop.now)
         if stream is not None and stream.req is not None and not stream.over:
-            self.front.core.drained(stream.req)
+            self.front.core.listener_ready(stream.req)
         return None
 
     def seen(self, message):
+        """Acknowledges items of a stream."""
         if message.seq is not None:
-            self.front.book.seen(self.session, message.id, message.seq)
+            self.front.book.acknowledge(self.session, message.id, message.seq)
             stream = self.session.streams.get(message.id)
             if stream is not None and stream.req is not None and not stream.over:
-                self.front.core.drained(stream.req)
+                self.front.core.listener_ready(stream.req)
 
 
 class SessionListener:
-    """The core's listener for one stream of a session."""
+    """The core's listener for one stream of a session. `whole`: the client wants the answer in one piece."""
 
     def __init__(self, front, session, stream):
         self.front, self.session, self.stream = front, session, stream
-        self.whole = self.usage = False
+        self.whole = self.include_usage = False
 
     @property
     def full(self):
         return not self.whole and self.front.book.full(self.session, self.stream)
 
-    def look(self):
-        pass  # a session outlives its connection
+    def check_client(self):
+        pass  # a session survives the loss of its connection
 
     def on_begin(self):
         pass
@@ -484,29 +511,31 @@
     def on_events(self, values, payloads):
         if self.whole:
             return
-        if not self.usage:
+        if not self.include_usage:
             payloads = without_usage(values, payloads)
         if payloads:
             self.front.book.push(self.session, self.stream, b",".join(payloads), len(payloads), now_us=self.front.loop.now)
 
-    def final(self, how, status, more):
-        data = orjson.dumps({"how": how, "status": status, **more})[1:-1]
+    def send_final(self, how, status, details):
+        """Adds the final answer to the stream."""
+        data = orjson.dumps({"how": how, "status": status, **details})[1:-1]
         self.front.book.push(self.session, self.stream, data, 1, True, self.front.loop.now)
 
     def on_done(self, answer):
-        self.final("done", 200, {"completion": answer.assembler.completion()} if self.whole else {})
+        self.send_final("done", 200, {"completion": answer.assembler.completion()} if self.whole else {})
 
     def on_server_answer(self, status, body):
         try:
-            self.on_wrong(status, orjson.loads(body))
+            self.on_invalid(status, orjson.loads(body))
         except orjson.JSONDecodeError:
-            self.on_wrong(status, {"error": {"message": body[:1000].decode("utf-8", "replace")}})
+            self.on_invalid(status, {"error": {"message": body[:1000].decode("utf-8", "replace")}})
 
-    def on_wrong(self, status, value):
-        self.final("wrong", status, {"error": value.get("error", value) if isinstance(value, dict) else value})
+    def on_invalid(self, status, value):
+        """The call is at fault: `value` is or holds an error object."""
+        self.send_final("wrong", status, {"error": value.get("error", value) if isinstance(value, dict) else value})
 
     def on_conflict(self):
-        self.on_wrong(
+        self.on_invalid(
             422,
             {
                 "error": {
@@ -518,10 +547,10 @@
             },
         )
 
-    def on_rejected(self, come_back_us):
-        status, _, body = pushed_back(come_back_us)
-        self.final("pushed_back", status, {"retry_after_ms": -(-come_back_us // MS), **orjson.loads(body)})
+    def on_rejected(self, retry_after_us):
+        status, _, body = rejected(retry_after_us)
+        self.send_final("pushed_back", status, {"retry_after_ms": -(-retry_after_us // MS), **orjson.loads(body)})
 
     def on_failed(self, why):
-        status, _, body = aborted(why)
-        self.final("aborted", status, orjson.loads(body))
+        status, _, body = failed(why)
+        self.send_final("aborted", status, orjson.loads(body))
--- a/lapiswing/gateway/resume.py
+++ b/lapiswing/gateway/resume.py
@@ -1,24 +1,26 @@
-"""Whether, and how, a broken stream goes on elsewhere. No I/O.
+"""Resumption of a broken stream at another server. No I/O.
 
-To the decisions the rest of a stream is a new req (as if its client came again), so the ordinary path decides where, and
-whether, it is read and written. This module only says what may go on at all: text of a replayable group, within the
-settings' bound. A keyed call can't: boxes that drop its repeat would not write the rest."""
+For the router the rest of a stream is a new request, as if the client had called again, so it is read and written, or
+rejected, like any other. This module only tells whether a stream may be resumed: it must be text of a replayable request
+class, within the limit of the settings. A keyed call can't be resumed, as servers that drop its repeat would not write the
+rest."""
 
 
-def may_go_on(group, allowed, resumes, most, assembler):
+def may_resume(request_class, allowed, resumes, max_resumes, assembler):
+    """Whether a stream of `request_class` with the answer so far in `assembler` may be resumed."""
     return (
         allowed
-        and group.effect == "replayable"
-        and resumes < most
+        and request_class.effect == "replayable"
+        and resumes < max_resumes
         and assembler.finish is None
-        and not assembler.more
+        and not assembler.extra
         and bool(assembler.parts)
     )
 
 
-def rest_of(raw, text, tokens):
-    """The call that asks for the rest after `text`, `tokens` of which have been written: the partial answer as a last
-    message that is to be continued, as vLLM's public chat API names it."""
+def continuation_of(raw, text, tokens):
+    """Returns the body of a call for the rest after `text`, which has `tokens` tokens: the partial answer is its last message,
+    to be continued by the fields of vLLM's public chat API."""
     body = {
         **raw,
         "messages": [*raw["messages"], {"role": "assistant", "content": text}],
@@ -31,8 +33,9 @@
     return body
 
 
-def joined(value, assembler, tokens):
-    """An event of the rest, made to look like one of the first part: same id, usage over both parts."""
+def as_continued(value, assembler, tokens):
+    """Returns an event of the rest in the form of one of the first part: with the same id, and usage over both parts. None if
+    nothing is left of it."""
     value = {**value, "id": assembler.id, "created": assembler.created, "model": assembler.model}
     usage = value.get("usage")
     if usage:
@@ -43,7 +46,7 @@
         }
     choices = []
     for choice in value.get("choices") or ():
-        delta = {n: v for n, v in (choice.get("delta") or {}).items() if n != "role"}
+        delta = {name: item for name, item in (choice.get("delta") or {}).items() if name != "role"}
         if delta.get("content") or choice.get("finish_reason"):
             choices.append({**choice, "delta": delta})
     if not choices and not usage:
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -1,4 +1,4 @@
-"""Puts one gateway together: settings, loop, boxes' list, core, chat front, signals."""
+"""Assembles the gateway process: settings, event loop, server list, core, fronts and signals."""
 
 import os
 import signal
@@ -31,23 +31,23 @@
 from lapiswing.tasks import Tasks
 
 MS = 1000
-CHORES_US = 5_000 * MS
-LEARNT_EVERY = 6  # of the chores: how often what the decisions learnt is put down
+MAINTENANCE_PERIOD_US = 5_000 * MS
+SAVE_LEARNED_STATE_EVERY = 6  # maintenance runs between two records of the router's learned state
 
 
 class Gateway:
-    """`start()` listens; `loop.run()` serves; `drain()` ends it. Raises OSError where it can't listen."""
+    """One gateway: `start()` listens, `loop.run()` serves, `drain()` ends it. `start` raises OSError if it can't listen."""
 
     def __init__(self, settings, log, loop=None, base=".", router=Router):
         self.settings, self.log, self.base = settings, log, base
         self.loop = loop or Loop(
-            Clock(), on_error=lambda problem: log.error("fault", why=f"{type(problem).__name__}: {problem}", exc_info=problem)
+            Clock(), on_error=lambda error: log.error("fault", why=f"{type(error).__name__}: {error}", exc_info=error)
         )
-        s, l = settings, settings.listen
+        s, listen = settings, settings.listen
         self.zones, self.cells = Names(), Names()
         self.pool = Pool(self.loop, s.limits.connections_per_box, connect_us=s.limits.connect_ms * MS)
         seed = s.gateway.seed or int.from_bytes(os.urandom(6), "big")
-        # Names of forwards must not repeat after a restart: boxes know states by them.
+        # Names of states must not repeat after a restart, as servers identify states by them.
         name = f"{s.gateway.name}-{s.gateway.index}-{os.urandom(4).hex()}"
         self.tasks, self.store = Tasks(self.loop), None
         if s.store.folder:
@@ -72,14 +72,14 @@
             Repeats(s.limits.repeats_kept, s.limits.repeat_bytes),
             s,
             router_settings(s, self.zones),
-            [ROLES[k.role] for k in s.kind],
+            [ROLES[kind.role] for kind in s.kind],
             name,
             seed,
             log,
             router,
             memory,
         )
-        self.core.on_list_wanted = self.read_boxes
+        self.core.on_list_wanted = self.read_servers_file
         mapper = Mapper(s)
         self.sessions = SessionFront(self.core, mapper, s, name)
         self.front = ChatFront(self.core, mapper, lambda: not self.core.draining, {b"/v1/chat/sessions": self.sessions.open})
@@ -87,34 +87,36 @@
             self.loop,
             self.front.app,
             Limits(
-                l.head_bytes,
-                l.body_bytes,
-                l.head_ms * MS,
-                l.body_ms * MS,
-                l.idle_ms * MS,
-                l.stall_ms * MS,
-                connections=l.connections,
+                listen.head_bytes,
+                listen.body_bytes,
+                listen.head_ms * MS,
+                listen.body_ms * MS,
+                listen.idle_ms * MS,
+                listen.stall_ms * MS,
+                connections=listen.connections,
             ),
         )
-        self.listener, self.stamp, self.signals = None, None, 0
+        self.listener, self.servers_file_stamp, self.stop_signals = None, None, 0
         self.list_fault = self.admin = None
 
     def unix_to_us(self, ms):
+        """Converts Unix milliseconds to the loop's time."""
         return ms * MS + self.unix_offset_us
 
     def started_us(self, unix_ms):
-        """A box's start in the loop's time; 0 stays long ago, and nothing that was told becomes it."""
+        """Returns the start of a server in the loop's time. 0 means unknown and is never returned for a known start."""
         return max(1, self.unix_to_us(unix_ms)) if unix_ms else 0
 
     def start(self):
-        l = self.settings.listen
-        sock = listen_socket(l.host, l.port)
+        """Opens the store, loads the server list and listens."""
+        listen = self.settings.listen
+        sock = listen_socket(listen.host, listen.port)
         self.port = sock.getsockname()[1]
         if self.store is not None:
-            self.remember()
-        self.read_boxes()
-        if self.stamp is None and not self.core.membership.told:
-            self.core.update_servers(self.rows(self.settings.box))
+            self.open_store()
+        self.read_servers_file()
+        if self.servers_file_stamp is None and not self.core.membership.told:
+            self.core.update_servers(self.rows_of(self.settings.box))
         if self.settings.dns.service or self.settings.dns.srv:
             self.discover()
         self.core.turn()
@@ -122,45 +124,49 @@
             self.loop,
             sock,
             self.server.accept,
-            l.connections,
+            listen.connections,
             high=self.settings.limits.answer_buffer_bytes,
             low=self.settings.limits.answer_buffer_bytes // 4,
         )
         self.server.listener = self.listener
         if self.settings.boxes_file:
-            self.loop.call_later(self.settings.boxes_poll_ms * MS, self.poll)
-        self.loop.call_later(1000 * MS, self.ask)
+            self.loop.call_later(self.settings.boxes_poll_ms * MS, self.poll_servers_file)
+        self.loop.call_later(1000 * MS, self.probe_drained)
         if self.settings.HasField("fleet"):
             self.join_fleet()
-        if s_admin(self.settings.admin):
+        if admin_enabled(self.settings.admin):
             self.admin = Admin(self, self.log)
             self.admin.start()
-        self.log.info("listening", host=l.host, port=self.port, boxes=len(self.core.membership.told))
+        self.log.info("listening", host=listen.host, port=self.port, boxes=len(self.core.membership.told))
 
     def discover(self):
-        """Looks for boxes by records, from now on."""
-        d, core = self.settings.dns, self.core
-        cache = Cache(d.lifetime_floor_s, d.lifetime_ceiling_s, stale_s=d.stale_s)
-        browsers = {f"dns-sd {n}": Browser(n, cache) for n in d.service} | {
-            f"srv {n}": Browser(n, cache, sd=False) for n in d.srv
+        """Starts the discovery of servers by DNS records."""
+        dns, core = self.settings.dns, self.core
+        cache = Cache(dns.lifetime_floor_s, dns.lifetime_ceiling_s, stale_s=dns.stale_s)
+        browsers = {f"dns-sd {name}": Browser(name, cache) for name in dns.service} | {
+            f"srv {name}": Browser(name, cache, sd=False) for name in dns.srv
         }
         resolver = Resolver(
-            self.loop, [address_of(a) for a in d.server], SystemRandom(), lambda event, **fields: self.log.debug(event, **fields)
+            self.loop,
+            [address_of(address) for address in dns.server],
+            SystemRandom(),
+            lambda event, **fields: self.log.debug(event, **fields),
         )
         self.discovery = Discovery(
             self.loop,
             resolver,
             browsers,
             lambda found: row_of_found(found, self.settings, self.zones, self.cells, self.started_us),
-            core.records,
-            core.look_at_members,
+            core.update_records,
+            core.check_membership,
             self.log,
         )
 
     discovery = fleet = None
 
     def join_fleet(self):
-        """The link to other copies, loaded where it is wanted only. Raises OSError where it can't listen."""
+        """Starts the link to other gateways. Its package is loaded only where the settings ask for it. Raises OSError if it
+        can't listen."""
         from lapiswing.fleet.host import Host
 
         s = self.settings
@@ -168,24 +174,24 @@
         self.fleet = Host(self.loop, s.fleet, s.gateway.name, s.gateway.zone, self.store if usable else None, self.log)
         self.fleet.start()
 
-    def remember(self):
-        """Opens the store and takes up what an earlier life left. One that can't be read leaves the gateway without memory, as one that
-        can't be written does later. Raises StoreError: another process has it open."""
+    def open_store(self):
+        """Opens the store and restores what a previous process recorded. If the store can't be read, the gateway runs without
+        it, as it does if the store can't be written later. Raises StoreError if another process has it open."""
         start = time.monotonic()
         try:
             self.store.open()
-        except StoreError as problem:
-            if problem.kind == "locked":
+        except StoreError as error:
+            if error.kind == "locked":
                 raise
-            self.store.refuse(str(problem))
+            self.store.refuse(str(error))
             return self.log.error(
                 "store can't be opened; calls with a key are pushed back"
                 if not self.core.memory.go_on
                 else "store can't be opened; nothing is remembered",
-                why=str(problem),
+                why=str(error),
             )
         core = self.core
-        found = core.memory.restore(core.repeats, core.membership, core.caps, [t.name for t in self.settings.tenant])
+        found = core.memory.restore(core.repeats, core.membership, core.caps, [tenant.name for tenant in self.settings.tenant])
         self.log.info(
             "remembered",
             keys=len(found.keys),
@@ -194,12 +200,12 @@
             unreadable=found.unreadable or None,
             ms=round((time.monotonic() - start) * 1000),
         )
-        self.take_up(found)
-        self.loop.call_later(CHORES_US, self.chores)
+        self.restore_router(found)
+        self.loop.call_later(MAINTENANCE_PERIOD_US, self.maintain)
 
-    def take_up(self, found):
-        """Gives the decisions what an earlier life of them learnt; what is taken up of it is their affair. Whatever can't be
-        used means a fresh start and a line that says why."""
+    def restore_router(self, found):
+        """Gives the router the learned state of a previous process. The router decides what it uses of it. If it can't be used
+        at all, the router starts fresh, and the reason is logged."""
         record, router = found.learnt, self.core.router
         if record is None or not hasattr(router, "restore_learned_state"):
             return self.log.info("learnt figures", start="fresh", why=found.learnt_why)
@@ -208,28 +214,30 @@
                 **record.figures,
                 "boxes": [[box, self.started_us(started), *rest] for box, started, *rest in record.figures["boxes"]],
             }
-            said = router.restore_learned_state(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
-        except (ValueError, TypeError, LookupError) as problem:
-            return self.log.warning("learnt figures", start="fresh", why=f"can't be used: {problem}")
-        self.log.info("learnt figures", said=said)
+            summary = router.restore_learned_state(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
+        except (ValueError, TypeError, LookupError) as error:
+            return self.log.warning("learnt figures", start="fresh", why=f"can't be used: {error}")
+        self.log.info("learnt figures", said=summary)
 
     def save_learned_state(self):
+        """Records what the router has learned."""
         if self.store is None or not hasattr(self.core.router, "learned_state"):
             return
         figures = self.core.router.learned_state()
-        # Start times as Unix milliseconds: the loop's own time means nothing to the next life.
+        # Start times as Unix milliseconds, as the loop's time has no meaning in the next process.
         figures["boxes"] = [
             [box, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
             for box, started, *rest in figures["boxes"]
         ]
         self.core.memory.save_learned_state(figures)
 
-    chores_done = 0
+    maintenance_runs = 0
 
-    def chores(self):
-        self.loop.call_later(CHORES_US, self.chores)
-        self.chores_done += 1
-        if self.chores_done % LEARNT_EVERY == 0:
+    def maintain(self):
+        """Records the learned state, and starts compaction and expiry in the store."""
+        self.loop.call_later(MAINTENANCE_PERIOD_US, self.maintain)
+        self.maintenance_runs += 1
+        if self.maintenance_runs % SAVE_LEARNED_STATE_EVERY == 0:
             self.save_learned_state()
         names = {row["name"] for row in self.tasks.rows()}
         if self.store.wants_compaction() and "compaction" not in names:
@@ -237,89 +245,95 @@
         if "expiry" not in names:
             self.tasks.add("expiry", self.store.expire(), priority=8, share=0.05)
 
-    def rows(self, boxes):
-        return boxes_of(boxes, self.settings, self.zones, self.cells, self.started_us)
+    def rows_of(self, entries):
+        """Returns `box` entries of the settings as rows for the router."""
+        return boxes_of(entries, self.settings, self.zones, self.cells, self.started_us)
 
-    def poll(self):
-        self.loop.call_later(self.settings.boxes_poll_ms * MS, self.poll)
-        self.read_boxes()
+    def poll_servers_file(self):
+        self.loop.call_later(self.settings.boxes_poll_ms * MS, self.poll_servers_file)
+        self.read_servers_file()
 
-    def read_boxes(self):
-        """The boxes' file, where it has changed. A file that can't be read leaves the last good list standing."""
+    def read_servers_file(self):
+        """Reads the file with the server list if it has changed. If it can't be read, the last good list stays in use."""
         if not self.settings.boxes_file:
             return
         path = Path(self.base, self.settings.boxes_file)
         try:
-            status = path.stat()
-            stamp = (status.st_mtime_ns, status.st_size, status.st_ino)
-            if stamp == self.stamp:
+            file_status = path.stat()
+            stamp = (file_status.st_mtime_ns, file_status.st_size, file_status.st_ino)
+            if stamp == self.servers_file_stamp:
                 return
-            boxes = load_boxes(path.read_text(), str(path), [k.name for k in self.settings.kind])
-        except (OSError, UnicodeDecodeError, SettingsError) as problem:
-            if self.stamp != "bad":
-                self.stamp, self.list_fault = "bad", str(problem)
-                self.log.error("boxes file can't be read; the last list stands", why=str(problem))
+            boxes = load_boxes(path.read_text(), str(path), [kind.name for kind in self.settings.kind])
+        except (OSError, UnicodeDecodeError, SettingsError) as error:
+            if self.servers_file_stamp != "bad":
+                self.servers_file_stamp, self.list_fault = "bad", str(error)
+                self.log.error("boxes file can't be read; the last list stands", why=str(error))
             return
-        self.stamp, self.list_fault = stamp, None
-        self.core.update_servers(self.rows([*self.settings.box, *boxes]))
+        self.servers_file_stamp, self.list_fault = stamp, None
+        self.core.update_servers(self.rows_of([*self.settings.box, *boxes]))
 
-    def ask(self):
-        self.loop.call_later(1000 * MS, self.ask)
-        self.core.ask_drained()
+    def probe_drained(self):
+        self.loop.call_later(1000 * MS, self.probe_drained)
+        self.core.probe_drained()
 
     def watch_signals(self):
+        """Drains on SIGTERM and SIGINT, reads the file with the server list on SIGHUP."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.on_stop)
-        self.loop.on_signal(signal.SIGHUP, self.read_boxes)
+        self.loop.on_signal(signal.SIGHUP, self.read_servers_file)
 
     def on_stop(self):
-        self.signals += 1
-        if self.signals > 1:
+        """Drains at the first signal, stops at once at the second."""
+        self.stop_signals += 1
+        if self.stop_signals > 1:
             self.log.warning("stopping at once")
             return self.loop.stop()
         self.drain()
 
     def drain(self):
+        """Takes no more calls, and ends the loop once all are answered or at the limit."""
         self.save_learned_state()
         if self.fleet is not None:
             self.fleet.close()
-        self.core.changed("gateway", text="draining")
+        self.core.notify_change("gateway", text="draining")
         self.log.info("draining", open=self.core.open, limit_ms=self.settings.gateway.drain_limit_ms)
         self.server.drain()
         limit_us = self.settings.gateway.drain_limit_ms * MS
         self.sessions.drain(limit_us)
-        self.stop_us = self.loop.clock.now_us() + limit_us
+        self.stop_due_us = self.loop.clock.now_us() + limit_us
         self.close_port()
         self.core.drain(limit_us, self.finish)
 
     def close_port(self):
-        """The port closes as soon as no session has an answer to come back for, should its link drop."""
-        if self.sessions.unfinished() and self.loop.clock.now_us() < self.stop_us - 500 * MS:
+        """Closes the port as soon as no WebSocket session has an answer for which its client might have to reconnect."""
+        if self.sessions.unfinished() and self.loop.clock.now_us() < self.stop_due_us - 500 * MS:
             return self.loop.call_later(50 * MS, self.close_port)
         self.listener.close()
 
     def finish(self):
-        if (self.sessions.connections or self.sessions.unfinished()) and self.loop.clock.now_us() < self.stop_us:
-            return self.loop.call_later(20 * MS, self.finish)  # they are sent away one by one
-        # What was written last is still on its way to clients.
-        if any(c.stream.waiting for c in self.server.connections) and self.patience():
+        """Ends the loop once the sessions and the writes to clients have ended."""
+        if (self.sessions.connections or self.sessions.unfinished()) and self.loop.clock.now_us() < self.stop_due_us:
+            return self.loop.call_later(20 * MS, self.finish)  # the sessions are closed one after the other
+        # The last responses may still be in the write buffers.
+        if any(conn.stream.waiting for conn in self.server.connections) and self.may_wait_longer():
             return self.loop.call_later(20 * MS, self.finish)
         self.log.info(
             "stopped",
             rounds=self.core.rounds,
             round_ms=self.core.round_us // MS,
-            **{k.replace(" ", "_"): v for k, v in self.core.counts.items()},
+            **{name.replace(" ", "_"): count for name, count in self.core.counts.items()},
         )
         self.loop.stop()
 
-    tries = 100
+    write_polls_left = 100
 
-    def patience(self):
-        self.tries -= 1
-        return self.tries > 0
+    def may_wait_longer(self):
+        """Bounds the wait for write buffers."""
+        self.write_polls_left -= 1
+        return self.write_polls_left > 0
 
     def close(self):
-        """For tests: lets go of all sockets."""
+        """Closes all sockets. For tests."""
         if self.listener:
             self.listener.close()
         self.server.close()
@@ -336,5 +350,6 @@
             self.admin.close()
 
 
-def s_admin(settings):
+def admin_enabled(settings):
+    """Whether the settings ask for an admin socket."""
     return settings.path or settings.control_path or settings.port
--- a/lapiswing/sessions/__init__.py
+++ b/lapiswing/sessions/__init__.py
@@ -1,5 +1,5 @@
-"""Sessions of clients that hold one connection for many reqs: limits, fair turns, credit, resumption. `book` decides,
-without I/O; `tokens` makes and checks what a client shows when it comes back."""
+"""Sessions of clients that use one connection for many requests: limits, fair scheduling, credit and resumption. `book`
+decides without I/O; `tokens` issues and checks the tokens by which a client resumes its session."""
 
 from lapiswing.sessions.book import Book, Limits, Session
 from lapiswing.sessions.tokens import Tokens
--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -13,18 +13,18 @@
 
 
 def sent(book, most=1 << 20, now=0):
-    return [f"{s.id}/{x.id} {i.first}{'!' if i.final else ''}" for s, x, i in book.turn(most, now)]
+    return [f"{s.id}/{x.id} {i.first_seq}{'!' if i.final else ''}" for s, x, i in book.turn(most, now)]
 
 
 def test_limits_of_sessions_and_reqs():
     b = book(per_tenant=1, total=2, reqs=2)
     one = b.open(0, 0)[0]
     assert b.open(0, 0) == (None, 1_000_000) and b.open(0, 1)[0] and b.open(0, 2)[0] is None
-    assert b.call(one, "a", None)[0] and b.call(one, "a", None)[1] == "duplicate"
-    stream = b.call(one, "b", None)[0]
-    assert b.call(one, "c", None)[1] == "too many"
+    assert b.open_stream(one, "a", None)[0] and b.open_stream(one, "a", None)[1] == "duplicate"
+    stream = b.open_stream(one, "b", None)[0]
+    assert b.open_stream(one, "c", None)[1] == "too many"
     b.push(one, stream, b"x", 1, True)
-    assert b.call(one, "c", None)[0]  # what is over does not count
+    assert b.open_stream(one, "c", None)[0]  # what is over does not count
     assert len(b.close(one)) == 2 and b.open(0, 0)[0] and b.bytes == 0
 
 
@@ -33,8 +33,8 @@
         b = book(fair, reqs=300)
         big, small = b.open(0, 0)[0], b.open(0, 0)[0]
         for i in range(200):
-            b.push(big, b.call(big, f"s{i}", None)[0], b"e" * 1000)
-        b.push(small, b.call(small, "only", None)[0], b"e" * 1000)
+            b.push(big, b.open_stream(big, f"s{i}", None)[0], b"e" * 1000)
+        b.push(small, b.open_stream(small, "only", None)[0], b"e" * 1000)
         return sent(b).index("2/only 1")
 
     assert play(True) < 20 and play(False) == 200
@@ -43,48 +43,48 @@
 def test_a_stream_without_credit_stops_alone():
     b = book(stall_us=5 * S)
     s = b.open(0, 0)[0]
-    a, c = b.call(s, "a", 2)[0], b.call(s, "c", None)[0]
+    a, c = b.open_stream(s, "a", 2)[0], b.open_stream(s, "c", None)[0]
     for i in range(4):
         b.push(s, a, b"e", now_us=i)
         b.push(s, c, b"e", now_us=i)
     assert sent(b, now=5) == ["1/a 1", "1/c 1", "1/a 2", "1/c 2", "1/c 3", "1/c 4"]
     assert b.full(s, a) and not b.full(s, c)
     assert [x.id for _, x in b.starved(6 * S)] == ["a"] and not b.starved(S)
-    b.credit(s, "a", 1, 6)
+    b.grant_credit(s, "a", 1, 6)
     assert sent(b) == ["1/a 3"] and b.full(s, a)
     b.push(s, a, b"f", 1, True)  # a final answer needs no credit, but comes behind the events
-    b.credit(s, "a", 9, 7)
+    b.grant_credit(s, "a", 9, 7)
     assert sent(b) == ["1/a 4", "1/a 5!"]
 
 
 def test_coming_back_gets_the_rest_once():
     b = book()
     s = b.open(0, 0)[0]
-    x = b.call(s, "a", None)[0]
+    x = b.open_stream(s, "a", None)[0]
     for _ in range(5):
         b.push(s, x, b"e")
     assert len(sent(b)) == 5
-    b.dropped(s, S)
+    b.connection_lost(s, S)
     b.push(s, x, b"e")
     b.push(s, x, b"f", 1, True)
     assert sent(b) == []  # nobody to send to
     assert b.resume(s, {"a": 3}, 2 * S) == ({"a": 4}, [])
     assert sent(b) == ["1/a 4", "1/a 5", "1/a 6", "1/a 7!"]
-    b.seen(s, "a", 7)
+    b.acknowledge(s, "a", 7)
     assert not s.streams and b.bytes == s.bytes == 0
 
 
 def test_what_fell_out_of_the_buffer_ends_with_one_answer():
     b = book(session_bytes=100)
     s = b.open(0, 0)[0]
-    x, y = b.call(s, "a", None)[0], b.call(s, "b", None)[0]
+    x, y = b.open_stream(s, "a", None)[0], b.open_stream(s, "b", None)[0]
     for _ in range(6):
         b.push(s, x, b"e" * 30)
         sent(b)
     b.push(s, y, b"e")
     sent(b)
     assert s.bytes <= 100
-    b.dropped(s, S)
+    b.connection_lost(s, S)
     following, gaps = b.resume(s, {"a": 1, "b": 1}, 2 * S)
     assert gaps == [x] and following["b"] == 2
     assert sent(b) == ["1/a 2!"] and x.over
@@ -95,25 +95,25 @@
 def test_waiting_items_are_never_dropped():
     b = book(session_bytes=100)
     s = b.open(0, 0)[0]
-    x = b.call(s, "a", None)[0]
-    b.writable(s, False)
+    x = b.open_stream(s, "a", None)[0]
+    b.set_writable(s, False)
     for _ in range(10):
         b.push(s, x, b"e" * 30)
     assert b.full(s, x) and len(x.items) == 10
-    b.writable(s, True)
+    b.set_writable(s, True)
     assert len(sent(b)) == 10 and not b.full(s, x)
 
 
 def test_away_and_idle():
     b = book(resume_us=5 * S, idle_us=9 * S)
     s, t = b.open(0, 0)[0], b.open(0, 0)[0]
-    x = b.call(t, "a", None)[0]
-    b.dropped(s, S)
-    assert b.quiet(5 * S) == [] and b.quiet(6 * S) == [(s, "away")]
+    x = b.open_stream(t, "a", None)[0]
+    b.connection_lost(s, S)
+    assert b.expired(5 * S) == [] and b.expired(6 * S) == [(s, "away")]
     b.close(s)
-    assert b.quiet(10 * S) == []  # a req runs
+    assert b.expired(10 * S) == []  # a req runs
     b.push(t, x, b"f", 1, True)
-    assert b.quiet(10 * S) == [(t, "idle")]
+    assert b.expired(10 * S) == [(t, "idle")]
 
 
 def test_tokens():
@@ -145,14 +145,14 @@
     """A client with three streams; each cut loses a part of what was on its way."""
     b = book(session_bytes=room, reqs=9)
     s = b.open(0, 0)[0]
-    streams = [b.call(s, str(i), 3 if with_credit else None)[0] for i in range(3)]
+    streams = [b.open_stream(s, str(i), 3 if with_credit else None)[0] for i in range(3)]
     made = {x.id: 0 for x in streams}
     got, ended, way = {x.id: [] for x in streams}, {}, []
 
     def receive(items):
         for x, item in items:
             for k in range(item.count):
-                assert item.first + k == len(got[x.id]) + 1, "a gap or a repeat"
+                assert item.first_seq + k == len(got[x.id]) + 1, "a gap or a repeat"
                 got[x.id].append(item.data)
             if item.final:
                 assert x.id not in ended
@@ -179,17 +179,17 @@
             turn(size * 10)
             receive(way[: size % (len(way) + 1)])
             way.clear()
-            b.dropped(s, 0)
+            b.connection_lost(s, 0)
             b.resume(s, {k: len(v) for k, v in got.items()}, 0)
         elif what == "seen":
-            b.seen(s, x.id, len(got[x.id]))
+            b.acknowledge(s, x.id, len(got[x.id]))
         elif what == "credit":
-            b.credit(s, x.id, size, 0)
+            b.grant_credit(s, x.id, size, 0)
         assert s.bytes == b.bytes == sum(len(i.data) for t in s.streams.values() for i in t.items)
     for x in streams:
         if not x.over:
             b.push(s, x, b"final", 1, True)
-        b.credit(s, x.id, 1000, 0)
+        b.grant_credit(s, x.id, 1000, 0)
     turn(1 << 30)
     receive(way)
     for x in streams:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -82,7 +82,7 @@
 
 def test_a_stream_that_hangs_goes_on_elsewhere():
     with GatewaySite() as place:
-        for group in place.core.groups:
+        for group in place.core.class_settings:
             group.stream_idle_ms = 300
         want = whole_answer(place, tokens=40)
         raw = send(place, chat(tokens=40))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -28,16 +28,16 @@
 
 def test_usual_attempts_pass():
     g = guards("keyed", "cell", second_copies=False)
-    g.listed([row("ready")], 0)
+    g.update_list([row("ready")], 0)
     assert may(g) and not g.total
 
 
 @pytest.mark.parametrize("how", ["draining", "gone"])
 def test_a_server_that_drains_or_is_gone_is_sent_nothing_past_the_grace(how):
     g = guards()
-    g.listed([row("draining")], 100 * MS) if how == "draining" else g.gone(["s-1"], 100 * MS)
+    g.update_list([row("draining")], 100 * MS) if how == "draining" else g.mark_gone(["s-1"], 100 * MS)
     assert may(g, now_ms=1100) and not may(g, now_ms=1101) and g.counts[Check.SENDING] == 1
-    g.listed([row("ready")], 1200 * MS)
+    g.update_list([row("ready")], 1200 * MS)
     assert may(g, now_ms=1300)
 
 
@@ -62,24 +62,24 @@
 )
 def test_effects_are_not_repeated_where_they_may_not_be(effect, scope, place, now_ms, good):
     g, history = guards(effect, scope), History()
-    g.sent(history, 0, (0, 0), True, 100 * MS)
-    g.ended(history, 0, "reset")
+    g.attempt_sent(history, 0, (0, 0), True, 100 * MS)
+    g.attempt_ended(history, 0, "reset")
     assert may(g, history=history, place=place, now_ms=now_ms) == good
     assert g.counts[Check.REPEATING] == (not good)
 
 
 def test_what_is_proved_never_to_have_run_may_be_sent_again():
     g, history = guards("non-replayable"), History()
-    g.sent(history, 0, (0, 0), True, 100 * MS)
-    g.ended(history, 0, "full")
+    g.attempt_sent(history, 0, (0, 0), True, 100 * MS)
+    g.attempt_ended(history, 0, "full")
     assert may(g, history=history)
 
 
 def test_no_second_copy_where_these_are_off():
     g, history = guards(second_copies=False), History()
-    g.sent(history, 0, (0, 0), False, 100 * MS)
+    g.attempt_sent(history, 0, (0, 0), False, 100 * MS)
     assert not may(g, history=history, effect=False)
-    g.ended(history, 0, "cancelled")
+    g.attempt_ended(history, 0, "cancelled")
     assert may(g, history=history, effect=False)
 
 
@@ -91,7 +91,9 @@
         old.status = other.status = "DRAINING"
         door.platform.discovery.tell(old.row(), other.row())
         door.until(lambda: all(m.mode == "draining" for m in door.core.router.servers.values()))
-        door.core.guards.off_us = {name: at - 2000 * MS for name, at in door.core.guards.off_us.items()}
+        door.core.guards.unavailable_since_us = {
+            name: at - 2000 * MS for name, at in door.core.guards.unavailable_since_us.items()
+        }
         for machine in door.core.router.servers.values():
             machine.mode = "ready"  # the fault: it has forgotten what it was told
         door.core.router.set_ready_servers(list(door.core.router.servers.values()))
