--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -806,7 +806,7 @@
             self.engine.probe(
                 server,
                 lambda code, report, server=server: (
-                    self.apply_membership(self.membership.said(server, (report or {}).get("draining", 1.0) > 0))
+                    self.apply_membership(self.membership.set_reported_draining(server, (report or {}).get("draining", 1.0) > 0))
                     if code == "done"
                     else None
                 ),
