--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -401,7 +401,7 @@
 
     def location_of(self, server):
         """Returns zone and cell of a server, by the list that the router was given."""
-        row = self.membership.told.get(server)
+        row = self.membership.published.get(server)
         return (row.zone, row.cell) if row is not None else (None, None)
 
     def intent_recorded(self, req, rid, number, attempt, send, why):
@@ -616,7 +616,7 @@
             report = {**report, "held": report[self.load_memory]}
         self.events.append(("outcome", rid, number, attempt.server, code, latency_us, ended, remark, report))
         if report is not None and "draining" in report:
-            self.apply_membership(self.membership.said(attempt.server, report["draining"] > 0))
+            self.apply_membership(self.membership.set_reported_draining(attempt.server, report["draining"] > 0))
         if req.over:
             self.schedule_cleanup(req)
         elif code == "done":
@@ -744,30 +744,30 @@
         for row in event[2]:
             self.kinds[row.id] = row.kind
             self.tally.server(row.id).listed(row.started_us)
-            self.notify_change("box", box=row.id, mode=row.mode, why=self.membership.why(row.id))
+            self.notify_change("box", box=row.id, mode=row.mode, why=self.membership.reason_of(row.id))
         self.events.append(event)
         now = self.loop.clock.now_us()
         self.guards.update_list(event[2], now)
         if event[1] != "update":
-            self.guards.mark_gone(self.kinds.keys() - self.membership.told.keys(), now)
+            self.guards.mark_gone(self.kinds.keys() - self.membership.published.keys(), now)
         if event[1] != "update" or any(row.mode != "ready" for row in event[2]):
             self.withdraw_unsent()
         if event[1] != "update":
-            self.departed = self.kinds.keys() - self.membership.told.keys()
+            self.departed = self.kinds.keys() - self.membership.published.keys()
         self.logger.info(
             "boxes",
             kind=event[1],
-            ready=sum(row.mode == "ready" for row in self.membership.told.values()),
+            ready=sum(row.mode == "ready" for row in self.membership.published.values()),
             rows=[f"{row.id} {row.mode}" for row in event[2]][:20],
         )
 
     def withdraw_unsent(self):
         """Ends attempts that still wait for a connection to a server that drains or has left, as if the server had refused
         them: they would begin after the grace period. Safe, as it is proved that none of them ran."""
-        told = self.membership.told
+        listed = self.membership.published
         for req in list(self.reqs.values()):
             for number, attempt in list(req.attempts.items()):
-                row = told.get(attempt.server)
+                row = listed.get(attempt.server)
                 if (row is None or row.mode != "ready") and attempt.handle is not None and attempt.handle.unsent:
                     self.cancel_attempt(req, number, "full")
 
@@ -785,13 +785,13 @@
 
     def update_servers(self, rows):
         """Takes a whole list of servers."""
-        self.apply_membership(self.membership.list(rows, self.loop.clock.now_us()))
+        self.apply_membership(self.membership.update_list(rows, self.loop.clock.now_us()))
 
     def update_records(self, source, rows):
         """Takes all servers that a source of DNS records names now."""
-        doubted = self.membership.doubts()
-        self.apply_membership(self.membership.records(source, rows, self.loop.clock.now_us()))
-        for name in self.membership.doubts():
+        doubted = self.membership.suspected_sources()
+        self.apply_membership(self.membership.update_records(source, rows, self.loop.clock.now_us()))
+        for name in self.membership.suspected_sources():
             if name not in doubted:
                 self.logger.warning("records doubted", source=name, named=len(rows))
                 self.notify_change("gateway", text=f"{name} lost most of its boxes at once and is doubted for now")
@@ -802,7 +802,7 @@
 
     def probe_drained(self):
         """Asks the servers that reported that they drain whether they still do."""
-        for server in self.membership.to_ask():
+        for server in self.membership.servers_reporting_drain():
             self.engine.probe(
                 server,
                 lambda code, report, server=server: (
--- a/lapiswing/gateway/fronts/listener.py
+++ b/lapiswing/gateway/fronts/listener.py
@@ -16,7 +16,7 @@
 
     def check_client(self):
         """Checks at once whether the client has gone."""
-        self.exchange.look()
+        self.exchange.poll_client()
 
     def client_left(self):
         self.core.listener_left(self.req, self)
--- a/lapiswing/gateway/fronts/websocket.py
+++ b/lapiswing/gateway/fronts/websocket.py
@@ -295,8 +295,8 @@
         """Aborts a connection that is stalled or silent for too long, and sends a ping where one is due."""
         settings = self.front.settings
         if (
-            self.stream.waiting
-            and now - self.stream.moved_us > settings.stall_ms * MS
+            self.stream.unsent_bytes
+            and now - self.stream.last_progress_us > settings.stall_ms * MS
             or self.closing
             and (now - self.last_received_us > 5_000_000)
         ):
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -115,7 +115,7 @@
         if self.store is not None:
             self.open_store()
         self.read_servers_file()
-        if self.servers_file_stamp is None and not self.core.membership.told:
+        if self.servers_file_stamp is None and not self.core.membership.published:
             self.core.update_servers(self.rows_of(self.settings.box))
         if self.settings.dns.service or self.settings.dns.srv:
             self.discover()
@@ -137,7 +137,7 @@
         if admin_enabled(self.settings.admin):
             self.admin = Admin(self, self.log)
             self.admin.start()
-        self.log.info("listening", host=listen.host, port=self.port, boxes=len(self.core.membership.told))
+        self.log.info("listening", host=listen.host, port=self.port, boxes=len(self.core.membership.published))
 
     def discover(self):
         """Starts the discovery of servers by DNS records."""
@@ -315,7 +315,7 @@
         if (self.sessions.connections or self.sessions.unfinished()) and self.loop.clock.now_us() < self.stop_due_us:
             return self.loop.call_later(20 * MS, self.finish)  # the sessions are closed one after the other
         # The last responses may still be in the write buffers.
-        if any(conn.stream.waiting for conn in self.server.connections) and self.may_wait_longer():
+        if any(conn.stream.unsent_bytes for conn in self.server.connections) and self.may_wait_longer():
             return self.loop.call_later(20 * MS, self.finish)
         self.log.info(
             "stopped",
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -89,12 +89,12 @@
         harness.until(lambda: harness.platform.discovery.waiting)
         old, other = harness.platform.servers.values()
         old.status = other.status = "DRAINING"
-        door.platform.discovery.tell(old.row(), other.row())
-        door.until(lambda: all(m.mode == "draining" for m in door.core.router.servers.values()))
-        door.core.guards.unavailable_since_us = {
-            name: at - 2000 * MS for name, at in door.core.guards.unavailable_since_us.items()
+        harness.platform.discovery.tell(old.row(), other.row())
+        harness.until(lambda: all(m.mode == "draining" for m in harness.core.router.servers.values()))
+        harness.core.guards.unavailable_since_us = {
+            name: at - 2000 * MS for name, at in harness.core.guards.unavailable_since_us.items()
         }
-        for machine in door.core.router.servers.values():
+        for machine in harness.core.router.servers.values():
             machine.mode = "ready"  # the fault: it has forgotten what it was told
         harness.core.router.set_ready_servers(list(harness.core.router.servers.values()))
         harness.core.router.table.arrange(harness.core.router.readers, harness.core.router.writers)
