--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -60,6 +60,7 @@
         self.assembler, self.events, self.size = Assembler(), [] if keep else None, 0
 
     def add(self, values, payloads):
+        """Adds events."""
         for value in values:
             self.assembler.add(value)
         if self.events is not None:
@@ -323,6 +324,7 @@
     # ---- the router's Writer
 
     def forward(self, rid, server, timeout_us, up_us=None):
+        """Starts an attempt. It ends at once as `moot` if it must not be sent any more."""
         req = self.reqs.get(rid)
         if req is not None:
             # Avoids an attempt for a client that left while the router decided. Costs a read of each client's socket.
@@ -340,11 +342,11 @@
             return
         role = self.roles[self.kinds[server]]
         stage = "write" if req.state else "read" if role == "read" else "direct"
-        place = self.location_of(server)
-        if not self.guards.may_send(req, req.guard_history, req.spec.group, server, place, stage != "read", now):
+        location = self.location_of(server)
+        if not self.guards.may_send(req, req.guard_history, req.spec.group, server, location, stage != "read", now):
             self.events.append(("outcome", rid, number, server, "moot", 0, False, None, None))
             return
-        self.guards.attempt_sent(req.guard_history, number, place, stage != "read", now)
+        self.guards.attempt_sent(req.guard_history, number, location, stage != "read", now)
         attempt = req.attempts[number] = OpenAttempt(server, stage, now)
         self.counts["forwards"] += 1
         self.tally.attempt_sent(server)
@@ -405,7 +407,7 @@
         return (row.zone, row.cell) if row is not None else (None, None)
 
     def intent_recorded(self, req, rid, number, attempt, send, why):
-        """Sends an attempt whose intent is on the disk; with a reason `why` it is not, the attempt ends unsent."""
+        """Sends an attempt whose intent is on the disk; if there is a reason `why` it is not, the attempt ends unsent."""
         if attempt.handle is None or attempt.handle.over:
             return
         if why is None:
@@ -416,6 +418,7 @@
             self.attempt_ended(req, rid, number, attempt, "moot", None, None)
 
     def hold_place(self, rid, server):
+        """Asks a server to reserve room for the state of a request."""
         req = self.reqs.get(rid)
         if req is not None and not req.over:
             number = max((n for n, attempt in req.attempts.items() if attempt.stage == "read"), default=0)
@@ -435,6 +438,7 @@
             self.schedule_cleanup(req)
 
     def release(self, rid):
+        """Releases the state that is held for a request."""
         req = self.reqs.get(rid)
         if req is not None and self.engine.states_named_by_req and not req.over:
             # The state of the request's next read has the same name and would be released too. `turn` releases it once no
@@ -457,11 +461,13 @@
             self.engine.release(req.state[0], req.state[2])
 
     def retract(self, rid, number):
+        """Cancels an attempt that has not begun to answer."""
         req = self.reqs.get(rid)
         if req is not None and number != req.answering_no:
             self.cancel_attempt(req, number, "cancelled")
 
     def move(self, rid):
+        """Cancels the attempt that answers, so that the stream continues elsewhere."""
         req = self.reqs.get(rid)
         if req is not None and req.answering_no is not None:
             attempt = req.attempts[req.answering_no]
@@ -469,54 +475,64 @@
             self.attempt_ended(req, rid, req.answering_no, attempt, "cancelled", None, None)
 
     def push_back(self, rid, retry_after_us):
+        """Rejects a request."""
         req = self.reqs.get(rid)
         if req is not None:
             self.finish(req, "pushed back", retry_after_us)
 
     def abort(self, rid):
+        """Fails a request."""
         req = self.reqs.get(rid)
         if req is not None:
             self.finish(req, "aborted", None)
 
     def timer(self, after_us, token):
+        """Sets a timer, which comes back as a `timer` event."""
         self.loop.call_later(after_us, self.timer_fired, token)
 
     def timer_fired(self, token):
         self.events.append(("timer", token))
 
     def probe(self, server):
-        sent = self.loop.clock.now_us()
+        """Asks a server for its load; the response comes as a `probed` event."""
+        sent_us = self.loop.clock.now_us()
         self.engine.probe(
-            server, lambda code, report: self.events.append(("probed", server, code, self.loop.clock.now_us() - sent, report))
+            server, lambda code, report: self.events.append(("probed", server, code, self.loop.clock.now_us() - sent_us, report))
         )
 
     def close(self, server):
+        """Closes the idle connections to a server."""
         self.engine.pool.close_idle(address_of(server))
 
     def tell(self, peer, payload):
-        pass  # gateways share no decisions; see docs/ROADMAP.md
+        pass  # gateways share nothing; see docs/ROADMAP.md
 
     on_list_wanted = None
 
     def watch(self, active):
+        """The router wants to be told of changes of the server list: reads the list at once."""
         if active:
             self.get_list()
 
     def get_list(self):
+        """Has the server list read again."""
         if self.on_list_wanted:
             self.on_list_wanted()
 
     def log(self, text):
+        """Logs a change of the router's mode."""
         self.logger.info("mode", text=text)
         self.notify_change("mode", text=text)
 
     def notify_change(self, kind, /, **fields):
+        """Reports a change to the feed of the admin interface."""
         if self.on_change is not None:
             self.on_change(kind, **fields)
 
     # ---- calls of attempts
 
     def on_first(self, req, rid, number, attempt):
+        """An attempt begins to answer: it becomes the answer, and the other attempts are cancelled."""
         if req.rid != rid:
             return attempt.handle.cancel()
         if req.over or req.answering_no is not None:
@@ -542,6 +558,7 @@
                 listener.on_begin()
 
     def on_events(self, req, rid, number, attempt, values, payloads):
+        """Passes events of the answering attempt to the listeners."""
         attempt.progress_us = self.loop.now
         if req.over:
             return
@@ -563,6 +580,7 @@
             self.update_flow(req)
 
     def attempt_timed_out(self, req, rid, number):
+        """Cancels an attempt that has not begun to answer within its time."""
         if req.rid == rid and number != req.answering_no:
             self.cancel_attempt(req, number, "timed_out")
 
@@ -578,6 +596,7 @@
         attempt.timer = self.loop.call_later(idle_us - quiet_us, self.check_idle, req, rid, number)
 
     def cancel_attempt(self, req, number, code):
+        """Cancels an attempt with the outcome `code`."""
         attempt = req.attempts.get(number)
         if attempt is not None:
             attempt.handle.cancel()
--- a/lapiswing/gateway/serve.py
+++ b/lapiswing/gateway/serve.py
@@ -43,18 +43,18 @@
         self.loop = loop or Loop(
             Clock(), on_error=lambda error: log.error("fault", why=f"{type(error).__name__}: {error}", exc_info=error)
         )
-        s, listen = settings, settings.listen
+        config, listen = settings, settings.listen
         self.zones, self.cells = Names(), Names()
-        self.pool = Pool(self.loop, s.limits.connections_per_box, connect_us=s.limits.connect_ms * MS)
-        seed = s.gateway.seed or int.from_bytes(os.urandom(6), "big")
+        self.pool = Pool(self.loop, config.limits.connections_per_box, connect_us=config.limits.connect_ms * MS)
+        seed = config.gateway.seed or int.from_bytes(os.urandom(6), "big")
         # Names of states must not repeat after a restart, as servers identify states by them.
-        name = f"{s.gateway.name}-{s.gateway.index}-{os.urandom(4).hex()}"
+        name = f"{config.gateway.name}-{config.gateway.index}-{os.urandom(4).hex()}"
         self.tasks, self.store = Tasks(self.loop), None
-        if s.store.folder:
+        if config.store.folder:
             self.store = Store(
-                Files(os.path.join(base, s.store.folder)),
+                Files(os.path.join(base, config.store.folder)),
                 Worker(self.loop),
-                segment_bytes=s.store.segment_bytes,
+                segment_bytes=config.store.segment_bytes,
                 log=lambda event, **fields: log.warning(event, **fields),
             )
         self.unix_offset_us = self.loop.clock.now_us() - time.time_ns() // 1000
@@ -62,17 +62,17 @@
             self.store,
             lambda: (self.loop.clock.now_us() - self.unix_offset_us) // MS,
             self.unix_to_us,
-            s.store.answer_bytes,
-            s.store.when_lost == GO_ON,
+            config.store.answer_bytes,
+            config.store.when_lost == GO_ON,
         )
         self.core = Core(
             self.loop,
-            Engine(self.loop, self.pool, s.limits.event_bytes),
-            Membership(MemberLimits(s.dns.gone_ms * MS, s.dns.doubt_ms * MS)),
-            Repeats(s.limits.repeats_kept, s.limits.repeat_bytes),
-            s,
-            router_settings(s, self.zones),
-            [ROLES[kind.role] for kind in s.kind],
+            Engine(self.loop, self.pool, config.limits.event_bytes),
+            Membership(MemberLimits(config.dns.gone_ms * MS, config.dns.doubt_ms * MS)),
+            Repeats(config.limits.repeats_kept, config.limits.repeat_bytes),
+            config,
+            router_settings(config, self.zones),
+            [ROLES[kind.role] for kind in config.kind],
             name,
             seed,
             log,
@@ -80,8 +80,8 @@
             memory,
         )
         self.core.on_list_wanted = self.read_servers_file
-        mapper = Mapper(s)
-        self.sessions = SessionFront(self.core, mapper, s, name)
+        mapper = Mapper(config)
+        self.sessions = SessionFront(self.core, mapper, config, name)
         self.front = ChatFront(self.core, mapper, lambda: not self.core.draining, {b"/v1/chat/sessions": self.sessions.open})
         self.server = Server(
             self.loop,
@@ -169,9 +169,11 @@
         can't listen."""
         from lapiswing.fleet.host import Host
 
-        s = self.settings
+        settings = self.settings
         usable = self.store is not None and self.store.mode == "good"
-        self.fleet = Host(self.loop, s.fleet, s.gateway.name, s.gateway.zone, self.store if usable else None, self.log)
+        self.fleet = Host(
+            self.loop, settings.fleet, settings.gateway.name, settings.gateway.zone, self.store if usable else None, self.log
+        )
         self.fleet.start()
 
     def open_store(self):
@@ -185,9 +187,9 @@
                 raise
             self.store.refuse(str(error))
             return self.log.error(
-                "store can't be opened; calls with a key are pushed back"
+                "store can't be opened; calls with a key are rejected"
                 if not self.core.memory.go_on
-                else "store can't be opened; nothing is remembered",
+                else "store can't be opened; nothing is recorded",
                 why=str(error),
             )
         core = self.core
@@ -212,7 +214,7 @@
         try:
             figures = {
                 **record.figures,
-                "boxes": [[box, self.started_us(started), *rest] for box, started, *rest in record.figures["boxes"]],
+                "boxes": [[server, self.started_us(started), *rest] for server, started, *rest in record.figures["boxes"]],
             }
             summary = router.restore_learned_state(figures, (self.core.memory.unix_ms() - record.saved_unix_ms) * MS)
         except (ValueError, TypeError, LookupError) as error:
@@ -226,8 +228,8 @@
         figures = self.core.router.learned_state()
         # Start times as Unix milliseconds, as the loop's time has no meaning in the next process.
         figures["boxes"] = [
-            [box, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
-            for box, started, *rest in figures["boxes"]
+            [server, round((started - self.unix_offset_us) / MS) if started else 0, *rest]
+            for server, started, *rest in figures["boxes"]
         ]
         self.core.memory.save_learned_state(figures)
 
@@ -250,6 +252,7 @@
         return boxes_of(entries, self.settings, self.zones, self.cells, self.started_us)
 
     def poll_servers_file(self):
+        """Looks for a change of the file with the server list, again and again."""
         self.loop.call_later(self.settings.boxes_poll_ms * MS, self.poll_servers_file)
         self.read_servers_file()
 
@@ -263,16 +266,17 @@
             stamp = (file_status.st_mtime_ns, file_status.st_size, file_status.st_ino)
             if stamp == self.servers_file_stamp:
                 return
-            boxes = load_boxes(path.read_text(), str(path), [kind.name for kind in self.settings.kind])
+            entries = load_boxes(path.read_text(), str(path), [kind.name for kind in self.settings.kind])
         except (OSError, UnicodeDecodeError, SettingsError) as error:
             if self.servers_file_stamp != "bad":
                 self.servers_file_stamp, self.list_fault = "bad", str(error)
                 self.log.error("boxes file can't be read; the last list stands", why=str(error))
             return
         self.servers_file_stamp, self.list_fault = stamp, None
-        self.core.update_servers(self.rows_of([*self.settings.box, *boxes]))
+        self.core.update_servers(self.rows_of([*self.settings.box, *entries]))
 
     def probe_drained(self):
+        """Has the core ask draining servers for their load once a second."""
         self.loop.call_later(1000 * MS, self.probe_drained)
         self.core.probe_drained()
 
