--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -1,4 +1,4 @@
-"""Helper of the whole-path tests: a gateway and stand-ins on one loop, and the client side of a socket."""
+"""Helpers of tests over sockets: a gateway and stand-ins of model servers on one loop, and clients."""
 
 import socket
 import struct
@@ -27,11 +27,12 @@
 log {{ level: "error" }}
 {more}
 """
-KIND = {"read": "rd", "write": "wr", "both": "mx"}
+KIND_BY_ROLE = {"read": "rd", "write": "wr", "both": "mx"}
 
 
 class GatewaySite:
-    """`with GatewaySite(roles) as place`: `place.port` is the gateway's. Times of boxes are short, so tests are quick."""
+    """A gateway with stand-in servers: `with GatewaySite(roles) as site`. `site.port` is the gateway's port. The servers are
+    fast, to keep the tests short."""
 
     def __init__(
         self,
@@ -47,16 +48,20 @@
     ):
         self.loop = loop or Loop(Clock())
         self.ids = [f"127.0.0.1:{port}" for port in ports or free_ports(len(roles))]
-        quick = {"step_ms": 3.0, "read_per_s": 100000.0} | box
+        timings = {"step_ms": 3.0, "read_per_s": 100000.0} | box
         zones = [chr(97 + i) for i in range(len(roles))]
-        self.specs = [BoxSpec(i, role, zone=z, cell=z, **quick) for i, role, z in zip(self.ids, roles, zones)]
+        self.specs = [
+            BoxSpec(server_id, role, zone=zone, cell=zone, **timings) for server_id, role, zone in zip(self.ids, roles, zones)
+        ]
         self.fleet = Fleet(self.loop, self.specs, models={"order": {"scope": scope.lower(), "window_ms": 5000}})
         self.fleet.start()
         boxes = "".join(
-            f'box {{ id: "{s.id}" kind: "{KIND[s.role]}" zone: "{s.zone}" cell: "{s.cell}" }}\n' for s in self.specs if listed
+            f'box {{ id: "{spec.id}" kind: "{KIND_BY_ROLE[spec.role]}" zone: "{spec.zone}" cell: "{spec.cell}" }}\n'
+            for spec in self.specs
+            if listed
         )
         settings = load_text(SETTINGS.format(more=more + boxes, resume=resume, scope=scope, listen=listen))
-        # port 0 means the default to the checked settings; a test wants a free one
+        # in the settings, port 0 means the default port, and a test needs a free one
         settings.listen.port = free_ports(1)[0]
         self.gateway = Gateway(settings, start_logs("error"), self.loop)
         self.gateway.start()
@@ -71,35 +76,44 @@
         self.loop.close()
 
     def box(self, i):
+        """Returns the stand-in server with this index."""
         return self.fleet.boxes[self.ids[i]]
 
     def until(self, done, most_s=8):
+        """Runs the loop until `done()` holds."""
         assert self.loop.run_until(done, most_s * 1_000_000), "did not happen in time"
 
     def rows(self, ev, **fields):
-        return [r for r in self.fleet.record.rows if r["ev"] == ev and all(r.get(k) == v for k, v in fields.items())]
+        """Returns the records of the stand-ins with this event and these fields."""
+        return [
+            row
+            for row in self.fleet.record.rows
+            if row["ev"] == ev and all(row.get(name) == value for name, value in fields.items())
+        ]
 
     def turn_for(self, ms):
+        """Runs the loop for some time."""
         end = time.monotonic() + ms / 1000
         while time.monotonic() < end:
             self.loop.turn(5000)
 
 
 class RawClient:
-    """A client's bare socket beside the loop."""
+    """A client with a plain socket, outside the loop. `small`: with a small receive buffer."""
 
-    def __init__(self, place, data=b"", small=False):
-        self.place, self.got, self.ended, self.broken = place, b"", False, False
+    def __init__(self, site, data=b"", small=False):
+        self.site, self.got, self.ended, self.broken = site, b"", False, False
         self.sock = socket.socket()
         if small:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        self.sock.settimeout(5)  # the loop doesn't turn meanwhile, so a full backlog would wait for ever
-        self.sock.connect(("127.0.0.1", place.port))
+        self.sock.settimeout(5)  # the loop doesn't run meanwhile, so connecting would block for ever if the backlog were full
+        self.sock.connect(("127.0.0.1", site.port))
         self.sock.setblocking(False)
         if data:
             self.sock.sendall(data)
 
     def read(self, most=1 << 20):
+        """Reads what has come, and returns all bytes so far."""
         try:
             part = self.sock.recv(most)
             self.got += part
@@ -111,18 +125,18 @@
         return self.got
 
     def until(self, done=None, most_s=8):
-        """Reads until `done(bytes)` holds, or to the end of the connection."""
-        self.place.until(lambda: (self.read() is not None) and (done(self.got) if done else self.ended), most_s)
+        """Reads until `done(bytes)` holds, or until the connection ends."""
+        self.site.until(lambda: (self.read() is not None) and (done(self.got) if done else self.ended), most_s)
         return self.got
 
     def left(self):
-        """Goes without a word, as by a reset."""
+        """Resets the connection."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
 class ResponseCollector:
-    """Handler of a request on `http1.Pool` whose answer is taken whole: `done((status, body))`, or `done((None, stage))`."""
+    """Handler of a request on `http1.Pool` that collects the response: calls `done((status, body))` or `done((None, stage))`."""
 
     def __init__(self, done):
         self.done, self.status, self.parts = done, None, []
@@ -141,10 +155,10 @@
 
 
 def post(body, close=True, **headers):
-    """The bytes of a chat call."""
+    """Returns the bytes of the HTTP request for a chat call."""
     data = body if isinstance(body, bytes) else orjson.dumps(body)
     lines = ["POST /v1/chat/completions HTTP/1.1", "Host: x", "Authorization: Bearer demo", f"Content-Length: {len(data)}"]
-    lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()] + (["Connection: close"] if close else [])
+    lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()] + (["Connection: close"] if close else [])
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + data
 
 
@@ -159,14 +173,15 @@
 
 
 def words(got):
-    """The text of a streamed answer as it came over the socket."""
-    out = []
+    """Returns the text of a streamed answer from the bytes of the response."""
+    texts = []
     for line in got.split(b"\n"):
         if line.startswith(b"data: {"):
             for choice in orjson.loads(line[6:]).get("choices") or ():
-                out.append((choice.get("delta") or {}).get("content") or "")
-    return "".join(out)
+                texts.append((choice.get("delta") or {}).get("content") or "")
+    return "".join(texts)
 
 
 def status(got):
+    """Returns the status of an HTTP response from its bytes."""
     return int(got[9:12])
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""The run-time checks: each stops and counts what it is for, against a Router that breaks its rule on purpose."""
+"""Tests of the run-time checks: each check stops and counts violations of its rule."""
 
 from trace import MS
 
@@ -13,42 +13,42 @@
     rid, over, answering_no, expires_us = "a1", False, None, 10_000 * MS
 
 
-def guards(effect="replayable", scope="all", second_copies=True):
-    group = RequestClass("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
-    return Guards([group], 1000 * MS, second_copies, RecordingLog())
+def make_guards(effect="replayable", scope="all", second_copies=True):
+    request_class = RequestClass("chat", effect, scope, 1500 * MS, 1000 * MS, 0, 0, 1.0, 0.3)
+    return Guards([request_class], 1000 * MS, second_copies, RecordingLog())
 
 
 def row(mode, name="s-1"):
     return Server(name, 0, 0, 0, 1.0, 0, mode)
 
 
-def may(g, call=Call, history=None, place=(0, 0), effect=True, now_ms=100, server="s-1"):
-    return g.may_send(call, history or History(), 0, server, place, effect, now_ms * MS)
+def may_send(guards, call=Call, history=None, location=(0, 0), effect=True, now_ms=100, server="s-1"):
+    return guards.may_send(call, history or History(), 0, server, location, effect, now_ms * MS)
 
 
-def test_usual_attempts_pass():
-    g = guards("keyed", "cell", second_copies=False)
-    g.update_list([row("ready")], 0)
-    assert may(g) and not g.total
+def test_ordinary_attempts_pass():
+    guards = make_guards("keyed", "cell", second_copies=False)
+    guards.update_list([row("ready")], 0)
+    assert may_send(guards) and not guards.total
 
 
-@pytest.mark.parametrize("how", ["draining", "gone"])
-def test_a_server_that_drains_or_is_gone_is_sent_nothing_past_the_grace(how):
-    g = guards()
-    g.update_list([row("draining")], 100 * MS) if how == "draining" else g.mark_gone(["s-1"], 100 * MS)
-    assert may(g, now_ms=1100) and not may(g, now_ms=1101) and g.counts[Check.SENDING] == 1
-    g.update_list([row("ready")], 1200 * MS)
-    assert may(g, now_ms=1300)
+@pytest.mark.parametrize("mode", ["draining", "gone"])
+def test_server_that_drains_or_is_gone_is_sent_nothing_after_the_grace_period(mode):
+    guards = make_guards()
+    guards.update_list([row("draining")], 100 * MS) if mode == "draining" else guards.mark_gone(["s-1"], 100 * MS)
+    assert may_send(guards, now_ms=1100) and not may_send(guards, now_ms=1101) and guards.counts[Check.SENDING] == 1
+    guards.update_list([row("ready")], 1200 * MS)
+    assert may_send(guards, now_ms=1300)
 
 
 @pytest.mark.parametrize("change", [{"over": True}, {"answering_no": 0}, {"expires_us": 50 * MS}])
-def test_nothing_starts_for_a_call_that_wants_nothing_any_more(change):
-    g = guards()
-    assert not may(g, type("Ended", (Call,), change)) and g.counts[Check.STARTING] == 1
+def test_nothing_starts_for_a_call_that_needs_no_attempt(change):
+    guards = make_guards()
+    assert not may_send(guards, type("Ended", (Call,), change)) and guards.counts[Check.STARTING] == 1
 
 
 @pytest.mark.parametrize(
-    "effect, scope, place, now_ms, good",
+    "effect, scope, location, now_ms, allowed",
     [
         ("replayable", "all", (1, 1), 9000, True),
         ("non-replayable", "all", (0, 0), 200, False),
@@ -60,42 +60,42 @@
         ("keyed", "cell", (0, 0), 200, True),
     ],
 )
-def test_effects_are_not_repeated_where_they_may_not_be(effect, scope, place, now_ms, good):
-    g, history = guards(effect, scope), History()
-    g.attempt_sent(history, 0, (0, 0), True, 100 * MS)
-    g.attempt_ended(history, 0, "reset")
-    assert may(g, history=history, place=place, now_ms=now_ms) == good
-    assert g.counts[Check.REPEATING] == (not good)
+def test_effects_are_repeated_only_where_allowed(effect, scope, location, now_ms, allowed):
+    guards, history = make_guards(effect, scope), History()
+    guards.attempt_sent(history, 0, (0, 0), True, 100 * MS)
+    guards.attempt_ended(history, 0, "reset")
+    assert may_send(guards, history=history, location=location, now_ms=now_ms) == allowed
+    assert guards.counts[Check.REPEATING] == (not allowed)
 
 
-def test_what_is_proved_never_to_have_run_may_be_sent_again():
-    g, history = guards("non-replayable"), History()
-    g.attempt_sent(history, 0, (0, 0), True, 100 * MS)
-    g.attempt_ended(history, 0, "full")
-    assert may(g, history=history)
+def test_attempt_that_never_ran_may_be_repeated():
+    guards, history = make_guards("non-replayable"), History()
+    guards.attempt_sent(history, 0, (0, 0), True, 100 * MS)
+    guards.attempt_ended(history, 0, "full")
+    assert may_send(guards, history=history)
 
 
-def test_no_second_copy_where_these_are_off():
-    g, history = guards(second_copies=False), History()
-    g.attempt_sent(history, 0, (0, 0), False, 100 * MS)
-    assert not may(g, history=history, effect=False)
-    g.attempt_ended(history, 0, "cancelled")
-    assert may(g, history=history, effect=False)
+def test_no_second_copy_if_these_are_off():
+    guards, history = make_guards(second_copies=False), History()
+    guards.attempt_sent(history, 0, (0, 0), False, 100 * MS)
+    assert not may_send(guards, history=history, effect=False)
+    guards.attempt_ended(history, 0, "cancelled")
+    assert may_send(guards, history=history, effect=False)
 
 
-def test_the_host_asks_before_it_sends_and_the_stop_is_counted_and_logged(tmp_path):
-    """A Router that goes on sending to what has left: the attempt is stopped, the call is answered all the same."""
+def test_host_checks_before_sending_and_counts_and_logs_violations(tmp_path):
+    """A router that still sends to a server that has left: the attempt is stopped, and the call is answered nevertheless."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         harness.until(lambda: harness.platform.discovery.waiting)
         old, other = harness.platform.servers.values()
         old.status = other.status = "DRAINING"
         harness.platform.discovery.tell(old.row(), other.row())
-        harness.until(lambda: all(m.mode == "draining" for m in harness.core.router.servers.values()))
+        harness.until(lambda: all(server.mode == "draining" for server in harness.core.router.servers.values()))
         harness.core.guards.unavailable_since_us = {
-            name: at - 2000 * MS for name, at in harness.core.guards.unavailable_since_us.items()
+            name: since_us - 2000 * MS for name, since_us in harness.core.guards.unavailable_since_us.items()
         }
-        for machine in harness.core.router.servers.values():
-            machine.mode = "ready"  # the fault: it has forgotten what it was told
+        for server in harness.core.router.servers.values():
+            server.mode = "ready"  # the fault: the router has lost the mode that the list stated
         harness.core.router.set_ready_servers(list(harness.core.router.servers.values()))
         harness.core.router.table.arrange(harness.core.router.readers, harness.core.router.writers)
         harness.core.router.refresh()
@@ -104,7 +104,7 @@
         assert "guard" in [event for event, _ in harness.log.lines]
 
 
-def test_a_process_that_ends_with_a_call_open_says_so(tmp_path):
+def test_call_that_is_open_at_the_end_of_the_process_is_counted(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         (server,) = harness.platform.servers.values()
         server.fault = lambda exchange: exchange.method == b"POST"
