--- a/tests/test_book.py
+++ b/tests/test_book.py
@@ -1,4 +1,4 @@
-"""Decisions on sessions: limits, turns, credit, and what a returning client gets. No sockets."""
+"""Tests of the session book without sockets: limits, fair scheduling, credit and resumption."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -8,112 +8,115 @@
 S = 1_000_000
 
 
-def book(fair=True, **limits):
+def make_book(fair=True, **limits):
     return Book(Limits(**limits), fair)
 
 
-def sent(book, most=1 << 20, now=0):
-    return [f"{s.id}/{x.id} {i.first_seq}{'!' if i.final else ''}" for s, x, i in book.turn(most, now)]
+def sent(book, max_bytes=1 << 20, now=0):
+    return [
+        f"{session.id}/{stream.id} {item.first_seq}{'!' if item.final else ''}"
+        for session, stream, item in book.turn(max_bytes, now)
+    ]
 
 
-def test_limits_of_sessions_and_reqs():
-    b = book(per_tenant=1, total=2, reqs=2)
-    one = b.open(0, 0)[0]
-    assert b.open(0, 0) == (None, 1_000_000) and b.open(0, 1)[0] and b.open(0, 2)[0] is None
-    assert b.open_stream(one, "a", None)[0] and b.open_stream(one, "a", None)[1] == "duplicate"
-    stream = b.open_stream(one, "b", None)[0]
-    assert b.open_stream(one, "c", None)[1] == "too many"
-    b.push(one, stream, b"x", 1, True)
-    assert b.open_stream(one, "c", None)[0]  # what is over does not count
-    assert len(b.close(one)) == 2 and b.open(0, 0)[0] and b.bytes == 0
+def test_limits_of_sessions_and_requests():
+    book = make_book(per_tenant=1, total=2, reqs=2)
+    one = book.open(0, 0)[0]
+    assert book.open(0, 0) == (None, 1_000_000) and book.open(0, 1)[0] and book.open(0, 2)[0] is None
+    assert book.open_stream(one, "a", None)[0] and book.open_stream(one, "a", None)[1] == "duplicate"
+    stream = book.open_stream(one, "b", None)[0]
+    assert book.open_stream(one, "c", None)[1] == "too many"
+    book.push(one, stream, b"x", 1, True)
+    assert book.open_stream(one, "c", None)[0]  # ended streams do not count
+    assert len(book.close(one)) == 2 and book.open(0, 0)[0] and book.bytes == 0
 
 
-def test_turns_are_fair_among_sessions_and_streams():
+def test_sending_is_fair_among_sessions_and_streams():
     def play(fair):
-        b = book(fair, reqs=300)
-        big, small = b.open(0, 0)[0], b.open(0, 0)[0]
+        book = make_book(fair, reqs=300)
+        big, small = book.open(0, 0)[0], book.open(0, 0)[0]
         for i in range(200):
-            b.push(big, b.open_stream(big, f"s{i}", None)[0], b"e" * 1000)
-        b.push(small, b.open_stream(small, "only", None)[0], b"e" * 1000)
-        return sent(b).index("2/only 1")
+            book.push(big, book.open_stream(big, f"s{i}", None)[0], b"e" * 1000)
+        book.push(small, book.open_stream(small, "only", None)[0], b"e" * 1000)
+        return sent(book).index("2/only 1")
 
     assert play(True) < 20 and play(False) == 200
 
 
 def test_a_stream_without_credit_stops_alone():
-    b = book(stall_us=5 * S)
-    s = b.open(0, 0)[0]
-    a, c = b.open_stream(s, "a", 2)[0], b.open_stream(s, "c", None)[0]
+    book = make_book(stall_us=5 * S)
+    session = book.open(0, 0)[0]
+    a, c = book.open_stream(session, "a", 2)[0], book.open_stream(session, "c", None)[0]
     for i in range(4):
-        b.push(s, a, b"e", now_us=i)
-        b.push(s, c, b"e", now_us=i)
-    assert sent(b, now=5) == ["1/a 1", "1/c 1", "1/a 2", "1/c 2", "1/c 3", "1/c 4"]
-    assert b.full(s, a) and not b.full(s, c)
-    assert [x.id for _, x in b.starved(6 * S)] == ["a"] and not b.starved(S)
-    b.grant_credit(s, "a", 1, 6)
-    assert sent(b) == ["1/a 3"] and b.full(s, a)
-    b.push(s, a, b"f", 1, True)  # a final answer needs no credit, but comes behind the events
-    b.grant_credit(s, "a", 9, 7)
-    assert sent(b) == ["1/a 4", "1/a 5!"]
-
-
-def test_coming_back_gets_the_rest_once():
-    b = book()
-    s = b.open(0, 0)[0]
-    x = b.open_stream(s, "a", None)[0]
+        book.push(session, a, b"e", now_us=i)
+        book.push(session, c, b"e", now_us=i)
+    assert sent(book, now=5) == ["1/a 1", "1/c 1", "1/a 2", "1/c 2", "1/c 3", "1/c 4"]
+    assert book.full(session, a) and not book.full(session, c)
+    assert [stream.id for _, stream in book.starved(6 * S)] == ["a"] and not book.starved(S)
+    book.grant_credit(session, "a", 1, 6)
+    assert sent(book) == ["1/a 3"] and book.full(session, a)
+    book.push(session, a, b"f", 1, True)  # a final answer needs no credit, but comes after the events
+    book.grant_credit(session, "a", 9, 7)
+    assert sent(book) == ["1/a 4", "1/a 5!"]
+
+
+def test_resumed_session_gets_the_rest_once():
+    book = make_book()
+    session = book.open(0, 0)[0]
+    stream = book.open_stream(session, "a", None)[0]
     for _ in range(5):
-        b.push(s, x, b"e")
-    assert len(sent(b)) == 5
-    b.connection_lost(s, S)
-    b.push(s, x, b"e")
-    b.push(s, x, b"f", 1, True)
-    assert sent(b) == []  # nobody to send to
-    assert b.resume(s, {"a": 3}, 2 * S) == ({"a": 4}, [])
-    assert sent(b) == ["1/a 4", "1/a 5", "1/a 6", "1/a 7!"]
-    b.acknowledge(s, "a", 7)
-    assert not s.streams and b.bytes == s.bytes == 0
-
-
-def test_what_fell_out_of_the_buffer_ends_with_one_answer():
-    b = book(session_bytes=100)
-    s = b.open(0, 0)[0]
-    x, y = b.open_stream(s, "a", None)[0], b.open_stream(s, "b", None)[0]
+        book.push(session, stream, b"e")
+    assert len(sent(book)) == 5
+    book.connection_lost(session, S)
+    book.push(session, stream, b"e")
+    book.push(session, stream, b"f", 1, True)
+    assert sent(book) == []  # there is no connection
+    assert book.resume(session, {"a": 3}, 2 * S) == ({"a": 4}, [])
+    assert sent(book) == ["1/a 4", "1/a 5", "1/a 6", "1/a 7!"]
+    book.acknowledge(session, "a", 7)
+    assert not session.streams and book.bytes == session.bytes == 0
+
+
+def test_stream_with_dropped_items_ends_with_one_final_answer():
+    book = make_book(session_bytes=100)
+    session = book.open(0, 0)[0]
+    lossy, other = book.open_stream(session, "a", None)[0], book.open_stream(session, "b", None)[0]
     for _ in range(6):
-        b.push(s, x, b"e" * 30)
-        sent(b)
-    b.push(s, y, b"e")
-    sent(b)
-    assert s.bytes <= 100
-    b.connection_lost(s, S)
-    following, gaps = b.resume(s, {"a": 1, "b": 1}, 2 * S)
-    assert gaps == [x] and following["b"] == 2
-    assert sent(b) == ["1/a 2!"] and x.over
-    b.push(s, x, b"e")  # comes too late
-    assert sent(b) == []
-
-
-def test_waiting_items_are_never_dropped():
-    b = book(session_bytes=100)
-    s = b.open(0, 0)[0]
-    x = b.open_stream(s, "a", None)[0]
-    b.set_writable(s, False)
+        book.push(session, lossy, b"e" * 30)
+        sent(book)
+    book.push(session, other, b"e")
+    sent(book)
+    assert session.bytes <= 100
+    book.connection_lost(session, S)
+    next_seqs, gaps = book.resume(session, {"a": 1, "b": 1}, 2 * S)
+    assert gaps == [lossy] and next_seqs["b"] == 2
+    assert sent(book) == ["1/a 2!"] and lossy.over
+    book.push(session, lossy, b"e")  # after the final answer
+    assert sent(book) == []
+
+
+def test_unsent_items_are_never_dropped():
+    book = make_book(session_bytes=100)
+    session = book.open(0, 0)[0]
+    stream = book.open_stream(session, "a", None)[0]
+    book.set_writable(session, False)
     for _ in range(10):
-        b.push(s, x, b"e" * 30)
-    assert b.full(s, x) and len(x.items) == 10
-    b.set_writable(s, True)
-    assert len(sent(b)) == 10 and not b.full(s, x)
+        book.push(session, stream, b"e" * 30)
+    assert book.full(session, stream) and len(stream.items) == 10
+    book.set_writable(session, True)
+    assert len(sent(book)) == 10 and not book.full(session, stream)
 
 
-def test_away_and_idle():
-    b = book(resume_us=5 * S, idle_us=9 * S)
-    s, t = b.open(0, 0)[0], b.open(0, 0)[0]
-    x = b.open_stream(t, "a", None)[0]
-    b.connection_lost(s, S)
-    assert b.expired(5 * S) == [] and b.expired(6 * S) == [(s, "away")]
-    b.close(s)
-    assert b.expired(10 * S) == []  # a req runs
-    b.push(t, x, b"f", 1, True)
-    assert b.expired(10 * S) == [(t, "idle")]
+def test_disconnected_and_idle_sessions_expire():
+    book = make_book(resume_us=5 * S, idle_us=9 * S)
+    away, idle = book.open(0, 0)[0], book.open(0, 0)[0]
+    stream = book.open_stream(idle, "a", None)[0]
+    book.connection_lost(away, S)
+    assert book.expired(5 * S) == [] and book.expired(6 * S) == [(away, "away")]
+    book.close(away)
+    assert book.expired(10 * S) == []  # a request is open
+    book.push(idle, stream, b"f", 1, True)
+    assert book.expired(10 * S) == [(idle, "idle")]
 
 
 def test_tokens():
@@ -122,7 +125,7 @@
     old, new = Fernet.generate_key(), Fernet.generate_key()
     token = Tokens([old], "life", 60).make(7, 1, 1000)
     assert Tokens([old], "life", 60).read(token, 1, 1030) == ("good", 7)
-    assert Tokens([new, old], "life", 60).read(token, 1, 1030) == ("good", 7)  # while a key is changed
+    assert Tokens([new, old], "life", 60).read(token, 1, 1030) == ("good", 7)  # during a key rotation
     assert Tokens([new], "life", 60).read(token, 1, 1030) == ("forged", None)
     assert Tokens([old], "life", 60).read(token, 1, 1061) == ("forged", None)
     assert Tokens([old], "life", 60).read(token, 2, 1030) == ("other tenant", None)
@@ -141,60 +144,60 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(STEPS, st.booleans(), st.sampled_from([60, 100000]))
-def test_whatever_is_cut_the_joined_view_is_the_uncut_stream_or_says_that_it_is_not(steps, with_credit, room):
-    """A client with three streams; each cut loses a part of what was on its way."""
-    b = book(session_bytes=room, reqs=9)
-    s = b.open(0, 0)[0]
-    streams = [b.open_stream(s, str(i), 3 if with_credit else None)[0] for i in range(3)]
-    made = {x.id: 0 for x in streams}
-    got, ended, way = {x.id: [] for x in streams}, {}, []
+def test_resumed_streams_are_complete_or_report_the_loss(steps, with_credit, room):
+    """A client with three streams. Each lost connection loses a part of the items in transit."""
+    book = make_book(session_bytes=room, reqs=9)
+    session = book.open(0, 0)[0]
+    streams = [book.open_stream(session, str(i), 3 if with_credit else None)[0] for i in range(3)]
+    pushed = {stream.id: 0 for stream in streams}
+    got, ended, in_transit = {stream.id: [] for stream in streams}, {}, []
 
     def receive(items):
-        for x, item in items:
+        for stream, item in items:
             for k in range(item.count):
-                assert item.first_seq + k == len(got[x.id]) + 1, "a gap or a repeat"
-                got[x.id].append(item.data)
+                assert item.first_seq + k == len(got[stream.id]) + 1, "a gap or a repeat"
+                got[stream.id].append(item.data)
             if item.final:
-                assert x.id not in ended
-                ended[x.id] = item.data
-
-    def turn(most):
-        for _, x, item in b.turn(most):
-            if not item.final and x.credit is not None:
-                assert x.credit >= 0
-            way.append((x, item))
-
-    for what, n, size in steps:
-        x = streams[n]
-        if what == "push" and not x.over:
-            made[x.id] += 1
-            b.push(s, x, b"%d." % made[x.id] + b"e" * size)
-        elif what == "final" and not x.over:
-            b.push(s, x, b"final", 1, True)
-        elif what == "turn":
+                assert stream.id not in ended
+                ended[stream.id] = item.data
+
+    def turn(max_bytes):
+        for _, stream, item in book.turn(max_bytes):
+            if not item.final and stream.credit is not None:
+                assert stream.credit >= 0
+            in_transit.append((stream, item))
+
+    for step, index, size in steps:
+        stream = streams[index]
+        if step == "push" and not stream.over:
+            pushed[stream.id] += 1
+            book.push(session, stream, b"%d." % pushed[stream.id] + b"e" * size)
+        elif step == "final" and not stream.over:
+            book.push(session, stream, b"final", 1, True)
+        elif step == "turn":
             turn(size * 10)
-            receive(way)
-            way.clear()
-        elif what == "drop":
+            receive(in_transit)
+            in_transit.clear()
+        elif step == "drop":
             turn(size * 10)
-            receive(way[: size % (len(way) + 1)])
-            way.clear()
-            b.connection_lost(s, 0)
-            b.resume(s, {k: len(v) for k, v in got.items()}, 0)
-        elif what == "seen":
-            b.acknowledge(s, x.id, len(got[x.id]))
-        elif what == "credit":
-            b.grant_credit(s, x.id, size, 0)
-        assert s.bytes == b.bytes == sum(len(i.data) for t in s.streams.values() for i in t.items)
-    for x in streams:
-        if not x.over:
-            b.push(s, x, b"final", 1, True)
-        b.grant_credit(s, x.id, 1000, 0)
+            receive(in_transit[: size % (len(in_transit) + 1)])
+            in_transit.clear()
+            book.connection_lost(session, 0)
+            book.resume(session, {rid: len(items) for rid, items in got.items()}, 0)
+        elif step == "seen":
+            book.acknowledge(session, stream.id, len(got[stream.id]))
+        elif step == "credit":
+            book.grant_credit(session, stream.id, size, 0)
+        assert session.bytes == book.bytes == sum(len(item.data) for kept in session.streams.values() for item in kept.items)
+    for stream in streams:
+        if not stream.over:
+            book.push(session, stream, b"final", 1, True)
+        book.grant_credit(session, stream.id, 1000, 0)
     turn(1 << 30)
-    receive(way)
-    for x in streams:
-        assert x.id in ended  # exactly one final answer
-        events = [d for d in got[x.id] if d != ended[x.id]]
+    receive(in_transit)
+    for stream in streams:
+        assert stream.id in ended  # exactly one final answer
+        events = [data for data in got[stream.id] if data != ended[stream.id]]
         assert events == [b"%d." % (i + 1) + events[i].split(b".", 1)[1] for i in range(len(events))]
-        if ended[x.id] == b"final":
-            assert len(events) == made[x.id]
+        if ended[stream.id] == b"final":
+            assert len(events) == pushed[stream.id]
