--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -153,10 +153,12 @@
             return self.reject(listener, retry_after_us)
         if spec.key is not None:
             request_class = self.request_classes[spec.group]
-            wide = {"replayable": "always", "keyed": "boxes" if request_class.repeat_scope == "all" else ""}.get(
+            repeat_safety = {"replayable": "always", "keyed": "boxes" if request_class.repeat_scope == "all" else ""}.get(
                 request_class.effect, ""
             )
-            result, entry, latest_us = self.repeats.look_up(now, spec.key, spec.fingerprint, request_class.repeat_window_us, wide)
+            result, entry, latest_us = self.repeats.look_up(
+                now, spec.key, spec.fingerprint, request_class.repeat_window_us, repeat_safety
+            )
             if result == "full":
                 return self.reject(listener)
             if result == "conflict":
@@ -685,23 +687,24 @@
 
     # ---- ending requests
 
-    def finish(self, req, how, what):
-        """Gives the final answer, `how` being done, pushed back or aborted. It can't run twice, as `end` closes the request
+    def finish(self, req, result, detail):
+        """Gives the final answer. `result` is done, pushed back (rejected) or aborted (failed); `detail` is a server's response,
+        the time in us after which the client may retry, or a reason. It can't run twice, as `end` closes the request
         first."""
-        if not self.end(req, how, what):
+        if not self.end(req, result, detail):
             return
         listeners, req.listeners = req.listeners, []
         for listener in listeners:
-            if how == "done" and what is None:
+            if result == "done" and detail is None:
                 listener.on_done(req.answer)
-            elif how == "done":
-                listener.on_server_answer(*what)
-            elif how == "pushed back" and not req.streaming:
-                listener.on_rejected(what)
+            elif result == "done":
+                listener.on_server_answer(*detail)
+            elif result == "pushed back" and not req.streaming:
+                listener.on_rejected(detail)
             else:
-                listener.on_failed(what)
+                listener.on_failed(detail)
 
-    def end(self, req, how, what):
+    def end(self, req, result, detail):
         """Closes a request: counts, logs, records the result and cancels its attempts. Returns False if it was closed."""
         if req.over:
             return False
@@ -711,17 +714,17 @@
         self.open -= 1
         tenant = self.tally.tenant(req.spec.tenant)
         tenant["open"] -= 1
-        tenant[how] += 1
+        tenant[result] += 1
         tenant["tokens"] += req.answer.assembler.tokens
-        if how in self.counts and how != "left":
-            self.counts[how] += 1
+        if result in self.counts and result != "left":
+            self.counts[result] += 1
         entry = req.spec.entry
         if entry is not None:
-            if how == "done":
-                self.repeats.mark_done(entry, now, what or req.answer, req.answer.size if what is None else len(what[1]))
-                self.memory.record_outcome(entry, "done", req.answer if what is None else None)
+            if result == "done":
+                self.repeats.mark_done(entry, now, detail or req.answer, req.answer.size if detail is None else len(detail[1]))
+                self.memory.record_outcome(entry, "done", req.answer if detail is None else None)
             else:
-                if how == "pushed back" and not req.streaming:
+                if result == "pushed back" and not req.streaming:
                     self.repeats.mark_never_ran(entry)
                 else:
                     self.repeats.mark_in_doubt(entry, now)
@@ -731,7 +734,7 @@
             self.logger.info(
                 "req",
                 req=req.number,
-                end=how,
+                end=result,
                 group=self.request_classes[spec.group].name,
                 tenant=spec.tenant,
                 prompt=spec.tokens,
@@ -741,11 +744,11 @@
                 forwards=len([item for item in req.attempt_history if " first " not in item]),
                 resumes=req.resumes or None,
                 trail="; ".join(req.attempt_history),
-                why=what if isinstance(what, str) else None,
+                why=detail if isinstance(detail, str) else None,
             )
         self.ended.append(req)
         for number in [n for n in req.attempts if n != req.answering_no]:
-            if how != "left":  # for a client that left, the router cancels what it wants cancelled
+            if result != "left":  # for a client that left, the router cancels what it wants cancelled
                 self.cancel_attempt(req, number, "cancelled")
         return True
 
--- a/lapiswing/gateway/fronts/chat.py
+++ b/lapiswing/gateway/fronts/chat.py
@@ -24,6 +24,7 @@
         self.started_unix_s = int(time.time())
 
     def app(self, exchange):
+        """Handles a request by its path and method."""
         path, method = exchange.path, exchange.method
         if path == b"/v1/chat/completions":
             return self.completions(exchange) if method == b"POST" else self.not_allowed(exchange, b"POST")
@@ -40,12 +41,15 @@
         self.respond_error(exchange, 404, f"Unknown path {path.decode('latin-1')}", code="not_found")
 
     def not_allowed(self, exchange, allow):
-        self.respond_error(exchange, 405, "Method not allowed", code="method_not_allowed", more=[(b"allow", allow)])
+        """Responds that the method is not allowed."""
+        self.respond_error(exchange, 405, "Method not allowed", code="method_not_allowed", fields=[(b"allow", allow)])
 
-    def respond_error(self, exchange, status, text, param=None, code=None, more=()):
-        exchange.respond(status, error_body(text, "invalid_request_error", code, param), more=more)
+    def respond_error(self, exchange, status, text, param=None, code=None, fields=()):
+        """Responds with an error that the client has to correct. `fields`: further header fields."""
+        exchange.respond(status, error_body(text, "invalid_request_error", code, param), more=fields)
 
     def tenant(self, exchange):
+        """Returns the number of the tenant. Without a valid API key, responds with 401 and returns None."""
         try:
             return self.mapper.tenant(exchange.header(b"authorization"))
         except UnknownApiKey:
@@ -57,6 +61,7 @@
             return None
 
     def models(self, exchange, name):
+        """Responds with the list of models, or with the one that is named."""
         if self.tenant(exchange) is None:
             return
         rows = [
@@ -71,6 +76,7 @@
         exchange.json(200, row)
 
     def completions(self, exchange):
+        """Hands a chat call to the core."""
         tenant = self.tenant(exchange)
         if tenant is None:
             return
@@ -118,6 +124,8 @@
 
 
 class WholeResponse(ResponseWriter):
+    """Writes the answer in one piece."""
+
     full = False  # events are not written, so they need no room
 
     def on_begin(self):
@@ -131,6 +139,8 @@
 
 
 class StreamedResponse(ResponseWriter):
+    """Writes the answer as server-sent events."""
+
     def on_begin(self):
         self.exchange.begin(200, EVENT_STREAM_FIELDS)
 
