--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -4,6 +4,8 @@
 client, a request whose begun stream breaks ends (or continues as a new one, see `resume`), and attempts of a request that
 has ended are cancelled.
 
+Reads run on prefill servers, writes on decode servers. Servers that do both get one attempt for both.
+
 A front hands in a Spec and a listener:
     on_begin()                 a stream starts
     on_events(values, payloads)    events of the stream, parsed and as bytes
@@ -69,7 +71,8 @@
 
 
 class OpenAttempt:
-    """An attempt without an outcome yet. `handle` is the engine's object for it; `progress_us` is when the last event came."""
+    """An attempt without an outcome yet. `handle` is the engine's object for it, `stage` is read, write or direct (both in
+    one), and `progress_us` is when the last event came."""
 
     __slots__ = ("handle", "server", "stage", "sent_us", "timer", "progress_us")
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -92,7 +92,7 @@
         assert words(raw.until()) == want
 
 
-def test_a_keyed_retry_joins_the_first_try():
+def test_keyed_retry_joins_the_open_request():
     with GatewaySite() as site:
         first = send(site, chat("order", tokens=40), Idempotency_Key="k1")
         first.until(lambda got: got.count(b"content") > 5)
@@ -114,7 +114,7 @@
         assert status(RawClient(site, other).until()) == 200
 
 
-def test_the_first_try_leaves_while_the_second_listens():
+def test_first_client_leaves_while_the_second_still_listens():
     with GatewaySite() as site:
         first = send(site, chat("order", tokens=40), Idempotency_Key="k1")
         first.until(lambda got: got.count(b"content") > 5)
@@ -242,7 +242,7 @@
         assert len(words(got).split()) == 3000 and got.count(b"[DONE]") == 1
 
 
-def test_half_a_body_and_silence():
+def test_incomplete_body_times_out():
     with GatewaySite(listen="body_ms: 300") as site:
         raw = RawClient(site, post(chat())[:-10])
         assert status(raw.until()) == 408 and not site.rows("arrive")
