--- a/lapiswing/gateway/core.py
+++ b/lapiswing/gateway/core.py
@@ -92,7 +92,7 @@
         self.rid = number if spec.rid is None else spec.rid
         self.raw, self.tokens, self.expires_us = spec.call.raw, spec.tokens, spec.expires_us
         self.listeners, self.attempts, self.attempts_sent, self.state = [], {}, 0, None
-        self.leftover_server = None  # server that may hold a state which no response named
+        self.left = None  # server that may hold a state which no response named
         self.answering_no, self.streaming, self.over, self.resumes = None, False, False, 0
         self.answer = Answer(spec.key is not None)
         self.paused = False
@@ -439,7 +439,7 @@
         if held is not None:
             self.events.append(("place", rid, server, number, held))
         if held is not False and self.engine.states_named_by_req and req.rid == rid:
-            req.leftover_server = server
+            req.left = server
             self.schedule_cleanup(req)
 
     def release(self, rid):
@@ -449,14 +449,12 @@
             # The state of the request's next read has the same name and would be released too. `turn` releases it once no
             # attempt is in progress.
             if req.state is not None:
-                req.leftover_server, req.state = req.state[0], None
+                req.left, req.state = req.state[0], None
             return
-        if req is not None and (req.state is not None or req.leftover_server is not None and not req.attempts):
-            server, name = (
-                (req.state[0], req.state[2]) if req.state else (req.leftover_server, self.engine.state_name(self.name, rid))
-            )
+        if req is not None and (req.state is not None or req.left is not None and not req.attempts):
+            server, name = (req.state[0], req.state[2]) if req.state else (req.left, self.engine.state_name(self.name, rid))
             self.engine.release(server, name)
-            req.state = req.leftover_server = None
+            req.state = req.left = None
             self.schedule_cleanup(req)
 
     def release_unclaimed(self, rid):
@@ -549,7 +547,7 @@
         attempt.timer = self.loop.call_later(class_settings.stream_idle_ms * MS, self.check_idle, req, rid, number)
         req.backstop_timer.cancel()
         if attempt.stage != "write" and req.state is not None:
-            req.leftover_server = req.state[0]
+            req.left = req.state[0]
         req.state = None  # the writer has fetched it
         req.attempt_history.append(f"{attempt.stage} {attempt.server} first {(now - attempt.sent_us) // MS}")
         self.tally.attempt_began(attempt.server, now - attempt.sent_us)
@@ -629,7 +627,7 @@
             # The read may have left a state that nothing else will release. Where states have the name of their request, a
             # release drops all of them, so it has to wait until no attempt of the request is in progress.
             if self.engine.states_named_by_req:
-                req.leftover_server = attempt.server
+                req.left = attempt.server
             else:
                 self.engine.release(attempt.server, handle.name)
         if code == "full" and remark == 1:
