--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -163,6 +163,7 @@
 
 
 def chat(model="question", text="soup?", lab="a", stream=True, tokens=20, **more):
+    """Returns the body of a chat call. `lab` and `tokens` are instructions for the stand-in servers."""
     return {
         "model": model,
         "stream": stream,
