--- a/lapiswing/appliance/__init__.py
+++ b/lapiswing/appliance/__init__.py
@@ -1,4 +1,4 @@
-"""One command for a site: a supervisor that keeps the gateway (and, in the demo, stand-ins) running.
+"""Supervision of one site: keeps the gateway (and, in the demo, the stand-in servers) running.
 
-decide      when a process that ended is started again; pure
-supervise   the doing part, a process of its own in a session of its own"""
+decide      when a process that ended is restarted; pure
+supervise   starts, watches and stops the processes; runs as a process in its own session"""
--- a/lapiswing/appliance/decide.py
+++ b/lapiswing/appliance/decide.py
@@ -1,42 +1,49 @@
-"""When a process that ended is started again. No I/O, no clock.
+"""Decides when a process that ended is restarted. No I/O, no clock.
 
-Exit 0 is an end that was asked for; 2 says that its settings are bad, which a start can't mend; all else is a death. After a death the
-pause grows with the deaths of the last minutes, so that a gateway that dies at once does not take the machine's time from what
-else runs there, and one that ran for long is back at once."""
+Exit status 0 is a requested end. Exit status 2 means that the settings are invalid, which a restart can't fix. Anything else is a
+failure. The delay before a restart grows with the number of recent failures, so that a gateway that fails at start does not take
+processor time from other programs on the machine; a gateway that had run for long is restarted almost at once."""
 
-PAUSES_MS = (200, 500, 1000, 2000, 5000, 10_000, 30_000)
-CALM_MS = 60_000  # of running, after which earlier deaths no longer count
-BAD_SETTINGS = 2
+RESTART_DELAYS_MS = (200, 500, 1000, 2000, 5000, 10_000, 30_000)
+STABLE_AFTER_MS = 60_000  # a run of at least this length resets the count of failures
+EXIT_INVALID_SETTINGS = 2
 
 
 class Restarts:
+    """The restart state of one process."""
+
     def __init__(self):
-        self.deaths, self.started_ms, self.state, self.due_ms, self.why = 0, None, "new", None, None
+        self.failures, self.started_ms, self.state, self.due_ms, self.reason = 0, None, "new", None, None
 
     def start(self, now_ms):
+        """Records that the process was started."""
         self.started_ms, self.state, self.due_ms = now_ms, "running", None
 
     def ended(self, now_ms, code):
-        """`code`: as subprocess tells it, negative for a signal. -> the new state: 'asked', 'bad settings' or 'waits'."""
+        """Records the end of the process.
+
+        Returns the new state: 'asked' (the end was requested), 'bad settings' or 'waits' (for a restart).
+        `code`: the return code as subprocess reports it, negative for a signal."""
         if code == 0:
-            self.state, self.why = "asked", "ended as asked"
-        elif code == BAD_SETTINGS:
-            self.state, self.why = "bad settings", "its settings are bad"
+            self.state, self.reason = "asked", "ended as requested"
+        elif code == EXIT_INVALID_SETTINGS:
+            self.state, self.reason = "bad settings", "found its settings invalid"
         else:
-            if self.started_ms is not None and now_ms - self.started_ms >= CALM_MS:
-                self.deaths = 0
-            self.why = f"killed by signal {-code}" if code < 0 else f"ended with {code}"
-            self.due_ms = now_ms + PAUSES_MS[min(self.deaths, len(PAUSES_MS) - 1)]
-            self.deaths += 1
+            if self.started_ms is not None and now_ms - self.started_ms >= STABLE_AFTER_MS:
+                self.failures = 0
+            self.reason = f"killed by signal {-code}" if code < 0 else f"exited with status {code}"
+            self.due_ms = now_ms + RESTART_DELAYS_MS[min(self.failures, len(RESTART_DELAYS_MS) - 1)]
+            self.failures += 1
             self.state = "waits"
         return self.state
 
     def settings_changed(self, now_ms):
-        """-> whether it may start now, which bad settings have held up."""
+        """Returns whether this makes the process due for a start, which is so if invalid settings prevented one."""
         if self.state == "bad settings":
             self.state, self.due_ms = "waits", now_ms
             return True
         return False
 
     def due(self, now_ms):
+        """Whether it is time for a restart."""
         return self.state == "waits" and now_ms >= self.due_ms
--- a/lapiswing/appliance/supervise.py
+++ b/lapiswing/appliance/supervise.py
@@ -1,8 +1,8 @@
-"""The supervisor: keeps processes running, and their last words.
+"""The supervisor: keeps processes running and records the last lines that each of them logged.
 
-In its state folder: `lock` (held while it runs, with its process id), `status.json`, `NAME.log` for each process, and the gateway's admin
-sockets. It runs in a session of its own, so that closing the terminal ends neither it nor the gateway. Processes that outlived
-their supervisor are found again by what it wrote down, and watched on, not started twice."""
+Its state folder holds `lock` (locked while it runs, with its process id), `status.json`, `NAME.log` for each process, and the
+gateway's admin sockets. It runs in its own session, so that closing the terminal ends neither it nor the gateway. Processes that
+outlived a previous supervisor are found by its `status.json` and watched further instead of being started a second time."""
 
 import fcntl
 import json
@@ -19,17 +19,17 @@
 from lapiswing.errors import OperatorError
 from lapiswing.loop import Clock, Loop
 
-MS = 1000
-LOG_BYTES = 10 << 20
-LAST_WORDS = 12  # lines
-STOP_US = 30_000_000
+US_PER_MS = 1000
+MAX_LOG_BYTES = 10 << 20
+MAX_LAST_LINES = 12
+STOP_TIMEOUT_US = 30_000_000  # processes that still run after this are killed
 
 
 class Locked(OperatorError):
-    """Another supervisor holds this folder; `pid` is its process id."""
+    """Another supervisor holds the lock of this folder; `pid` is its process id."""
 
     exit_code = 2
-    advice = "`lapiswing up FILE --attach` opens the one that runs, `lapiswing down FILE` ends it."
+    advice = "`lapiswing up FILE --attach` opens the running one, `lapiswing down FILE` ends it."
 
     def __init__(self, folder, pid):
         super().__init__(folder, f"process {pid} runs it already")
@@ -37,7 +37,7 @@
 
 
 def take_lock(folder):
-    """-> the open file, to be kept. Raises Locked, OSError."""
+    """Returns the locked file, which the caller keeps open. Raises Locked, OSError."""
     os.makedirs(folder, mode=0o700, exist_ok=True)
     file = open(Path(folder, "lock"), "a+")
     try:
@@ -55,7 +55,7 @@
 
 
 def holder_of(folder):
-    """The process id of the running supervisor, or None."""
+    """Returns the process id of the supervisor that holds this folder, or None."""
     try:
         with open(Path(folder, "lock")) as file:
             try:
@@ -69,68 +69,74 @@
 
 
 class Child:
-    """One process that is kept running. `watch`: a file whose change may mend bad settings."""
+    """One supervised process. `settings_path`: a file whose change may fix invalid settings."""
 
-    def __init__(self, owner, name, args, watch=None):
-        self.owner, self.name, self.args, self.watch = owner, name, args, watch
+    def __init__(self, supervisor, name, args, settings_path=None):
+        self.supervisor, self.name, self.args, self.settings_path = supervisor, name, args, settings_path
         self.restarts, self.process, self.pid, self.fd = Restarts(), None, None, None
-        self.log, self.words, self.starts = Path(owner.folder, f"{name}.log"), [], deque(maxlen=20)
-        self.stamp = self.stamp_now()
+        self.log, self.last_lines, self.starts = Path(supervisor.folder, f"{name}.log"), [], deque(maxlen=20)
+        self.settings_mtime_ns = self.read_settings_mtime_ns()
 
-    def stamp_now(self):
+    def read_settings_mtime_ns(self):
         try:
-            return os.stat(self.watch).st_mtime_ns if self.watch else None
+            return os.stat(self.settings_path).st_mtime_ns if self.settings_path else None
         except OSError:
             return None
 
     def start(self):
         now_ms = time.time_ns() // 1_000_000
         self.starts.append(now_ms)
-        env = {**os.environ, "LAPISWING_STARTS": ",".join(map(str, self.starts)), "LAPISWING_LAST_END": self.restarts.why or ""}
+        env = {
+            **os.environ,
+            "LAPISWING_STARTS": ",".join(map(str, self.starts)),
+            "LAPISWING_LAST_END": self.restarts.reason or "",
+        }
         with open(self.log, "ab") as log:
             self.process = subprocess.Popen(
                 self.args, stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=env, start_new_session=True
             )
-        self.restarts.start(self.owner.now_ms())
-        self.follow(self.process.pid)
+        self.restarts.start(self.supervisor.now_ms())
+        self.watch_process(self.process.pid)
 
-    def follow(self, pid):
-        """Learns of its end by a descriptor of the process: it need not be our child."""
+    def watch_process(self, pid):
+        """Watches for the end of the process by a pidfd, which also works for one that is not our child."""
         self.pid, self.fd = pid, os.pidfd_open(pid)
-        self.owner.loop.watch(Descriptor(self.fd), select.POLLIN, self.on_end)
+        self.supervisor.loop.watch(Descriptor(self.fd), select.POLLIN, self.on_end)
 
     def adopt(self, pid):
-        self.restarts.start(self.owner.now_ms())
-        self.follow(pid)
+        """Takes over a process that a previous supervisor started."""
+        self.restarts.start(self.supervisor.now_ms())
+        self.watch_process(pid)
 
     def on_end(self, _mask):
-        self.owner.loop.watch(Descriptor(self.fd), 0, None)
+        self.supervisor.loop.watch(Descriptor(self.fd), 0, None)
         os.close(self.fd)
-        # Of a process that is not our child nobody tells how it ended: taken for a death.
+        # The exit status of a process that is not our child is unknown: treated as a failure.
         code = self.process.wait() if self.process is not None else 1
         self.process = self.pid = self.fd = None
-        self.words = last_words(self.log)
-        state = self.restarts.ended(self.owner.now_ms(), code)
-        self.owner.told(
-            f"{self.name} {self.restarts.why}"
-            + (f"; again in {self.restarts.due_ms - self.owner.now_ms():.0f} ms" if state == "waits" else "")
+        self.last_lines = last_words(self.log)
+        state = self.restarts.ended(self.supervisor.now_ms(), code)
+        self.supervisor.report(
+            f"{self.name} {self.restarts.reason}"
+            + (f"; restart in {self.restarts.due_ms - self.supervisor.now_ms():.0f} ms" if state == "waits" else "")
         )
 
-    def look(self):
-        stamp = self.stamp_now()
-        if stamp != self.stamp:
-            self.stamp = stamp
-            self.restarts.settings_changed(self.owner.now_ms())
+    def poll(self):
+        """Starts the process if it is due, and trims its log."""
+        mtime_ns = self.read_settings_mtime_ns()
+        if mtime_ns != self.settings_mtime_ns:
+            self.settings_mtime_ns = mtime_ns
+            self.restarts.settings_changed(self.supervisor.now_ms())
         if (
             self.pid is None
-            and not self.owner.stopping
-            and (self.restarts.state == "new" or self.restarts.due(self.owner.now_ms()))
+            and not self.supervisor.stopping
+            and (self.restarts.state == "new" or self.restarts.due(self.supervisor.now_ms()))
         ):
             self.start()
-            self.owner.told(f"{self.name} started, process {self.pid}")
-        if self.log.exists() and self.log.stat().st_size > LOG_BYTES:
-            # The process appends, so the file can be cut under it.
-            data = self.log.read_bytes()[-LOG_BYTES // 2 :]
+            self.supervisor.report(f"{self.name} started, process {self.pid}")
+        if self.log.exists() and self.log.stat().st_size > MAX_LOG_BYTES:
+            # The process writes in append mode, so the file can be truncated while it is open.
+            data = self.log.read_bytes()[-MAX_LOG_BYTES // 2 :]
             self.log.with_suffix(".log.1").write_bytes(data)
             os.truncate(self.log, 0)
 
@@ -142,18 +148,21 @@
                 pass
 
     def row(self):
+        """The entry of this process in status.json."""
         return {
             "name": self.name,
             "pid": self.pid,
             "state": self.restarts.state,
-            "deaths": self.restarts.deaths,
-            "why": self.restarts.why,
-            "last_words": self.words,
+            "deaths": self.restarts.failures,
+            "why": self.restarts.reason,
+            "last_words": self.last_lines,
             "starts": list(self.starts),
         }
 
 
 class Descriptor:
+    """A file descriptor as the object with `fileno()` that the loop watches."""
+
     def __init__(self, fd):
         self.fd = fd
 
@@ -162,85 +171,95 @@
 
 
 def last_words(path):
+    """Returns the last lines of a log file."""
     try:
         with open(path, "rb") as file:
             file.seek(max(0, os.fstat(file.fileno()).st_size - 16384))
-            return file.read().decode(errors="replace").splitlines()[-LAST_WORDS:]
+            return file.read().decode(errors="replace").splitlines()[-MAX_LAST_LINES:]
     except OSError:
         return []
 
 
 class Supervisor:
+    """Keeps the given processes running until it is stopped or the gateway ends as requested."""
+
     def __init__(self, folder, commands, loop=None):
-        """`commands`: (name, arguments, file to watch or None); the one named `gateway` may be found running."""
+        """`commands`: (name, arguments, settings file to watch or None).
+
+        The process named `gateway` is stopped first, and its requested end also ends the supervisor."""
         self.folder, self.loop = Path(folder), loop or Loop(Clock())
-        self.lock, self.stopping, self.lines = take_lock(folder), False, deque(maxlen=50)
+        self.lock, self.stopping, self.messages = take_lock(folder), False, deque(maxlen=50)
         self.children = [Child(self, *command) for command in commands]
 
     def now_ms(self):
-        return self.loop.clock.now_us() // MS
+        return self.loop.clock.now_us() // US_PER_MS
 
-    def told(self, text):
-        self.lines.append({"unix_ms": time.time_ns() // 1_000_000, "text": text})
+    def report(self, text):
+        """Logs a message and writes it to status.json."""
+        self.messages.append({"unix_ms": time.time_ns() // 1_000_000, "text": text})
         print(f"{time.strftime('%Y-%m-%dT%H:%M:%S')} {text}", file=sys.stderr, flush=True)
         self.write_status()
 
     def write_status(self):
         path = self.folder / "status.json"
         new = path.with_suffix(".new")
-        new.write_text(json.dumps({"pid": os.getpid(), "children": [c.row() for c in self.children], "lines": list(self.lines)}))
+        new.write_text(
+            json.dumps({"pid": os.getpid(), "children": [child.row() for child in self.children], "lines": list(self.messages)})
+        )
         os.rename(new, path)
 
     def start(self):
-        for child, pid in [(c, self.outlived(c)) for c in self.children]:  # all are looked up before the first is written down
+        # All are looked up before the first report, which overwrites status.json.
+        for child, pid in [(child, self.find_surviving(child)) for child in self.children]:
             if pid:
                 child.adopt(pid)
-                self.told(f"{child.name} found running, process {pid}")
+                self.report(f"{child.name} found running, process {pid}")
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
-        self.look()
+        self.poll()
 
-    def outlived(self, child):
-        """The process id that a supervisor before this one wrote down, if that process is still the same program."""
+    def find_surviving(self, child):
+        """Returns the process id that a previous supervisor recorded, or None unless it still runs the same command line."""
         try:
             rows = json.loads((self.folder / "status.json").read_text())["children"]
-            pid = next(r["pid"] for r in rows if r["name"] == child.name)
+            pid = next(row["pid"] for row in rows if row["name"] == child.name)
             args = Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")[:-1]
-            return pid if args == [a.encode() for a in child.args] else None
+            return pid if args == [argument.encode() for argument in child.args] else None
         except (OSError, ValueError, KeyError, StopIteration, TypeError):
             return None
 
-    def look(self):
+    def poll(self):
+        """Polls all processes, ten times a second."""
         for child in self.children:
-            child.look()
+            child.poll()
         if not self.stopping:
-            if all(c.restarts.state == "asked" for c in self.children if c.name == "gateway"):
-                self.told("the gateway ended as asked")
+            if all(child.restarts.state == "asked" for child in self.children if child.name == "gateway"):
+                self.report("the gateway ended as requested")
                 self.stop()
-            self.timer = self.loop.call_later(100 * MS, self.look)
+            self.timer = self.loop.call_later(100 * US_PER_MS, self.poll)
 
     def stop(self):
-        """Ends all: the gateway drains first, the others go when it is gone."""
+        """Stops all processes: first the gateway, which drains, then the others. A second call kills them."""
         if self.stopping:
             for child in self.children:
                 child.signal(signal.SIGKILL)
             return
         self.stopping = True
-        self.stop_us = self.loop.clock.now_us() + STOP_US
+        self.stop_deadline_us = self.loop.clock.now_us() + STOP_TIMEOUT_US
         for child in self.children:
             if child.name == "gateway":
                 child.signal(signal.SIGTERM)
-        self.wait_ends()
+        self.wait_for_exits()
 
-    def wait_ends(self):
-        late = self.loop.clock.now_us() > self.stop_us
-        gateway = any(c.pid is not None for c in self.children if c.name == "gateway")
+    def wait_for_exits(self):
+        late = self.loop.clock.now_us() > self.stop_deadline_us
+        gateway_runs = any(child.pid is not None for child in self.children if child.name == "gateway")
         for child in self.children:
-            if child.pid is not None and (late or not gateway and child.name != "gateway"):
+            if child.pid is not None and (late or not gateway_runs and child.name != "gateway"):
                 child.signal(signal.SIGKILL if late else signal.SIGTERM)
-        if any(c.pid is not None for c in self.children):
-            return self.loop.call_later(50 * MS, self.wait_ends)
-        self.told("stopped")
+        if any(child.pid is not None for child in self.children):
+            return self.loop.call_later(50 * US_PER_MS, self.wait_for_exits)
+        self.report("stopped")
         self.loop.stop()
 
     def run(self):
