--- a/lapiswing/standin/nameserver.py
+++ b/lapiswing/standin/nameserver.py
@@ -1,5 +1,15 @@
-"""A stand-in DNS server on loopback, UDP and TCP, with faults (each a field that may be changed at any time):
-silent; garbage (bytes, id, question, loop, sender); rcode; truncate (over UDP); drip_ms (TCP, a byte at a time); delay_ms; cut_tcp."""
+"""A stand-in DNS server on loopback, over UDP and TCP.
+
+Faults are fields that may be changed at any time:
+
+silent      sends no answers
+garbage     answers are invalid: "bytes" (no DNS message), "id" (wrong id), "question" (wrong question), "loop" (a compressed name
+            that points at itself) or "sender" (sent from another port)
+rcode       error code in place of an answer, such as "SERVFAIL"
+truncate    every answer over UDP is truncated, so that the client must ask over TCP
+drip_ms     over TCP, the interval between single bytes
+delay_ms    over UDP, the delay before an answer
+cut_tcp     closes a TCP connection after half of the answer"""
 
 import selectors
 import socket
@@ -13,9 +23,12 @@
 
 from lapiswing.loop import Listener, listen_socket
 
+US_PER_MS = 1000
+MAX_UDP_BYTES = 1232  # the EDNS buffer size that avoids IP fragmentation
+
 
 class NameServer:
-    """`zone`: {(name, type): (ttl, [text, ...])}, names in lower case with a final dot."""
+    """Answers from `zone`: {(name, type): (ttl, [text, ...])}, names in lower case with a final dot."""
 
     def __init__(self, loop, port=0):
         self.loop, self.zone = loop, {}
@@ -27,59 +40,63 @@
         loop.watch(self.sock, selectors.EVENT_READ, self.on_ready)
         self.silent = self.truncate = self.cut_tcp = False
         self.garbage, self.rcode, self.drip_ms, self.delay_ms = "", None, 0, 0
-        self.asked, self.over_tcp = [], 0
+        self.asked, self.over_tcp = [], 0  # the (name, type) of each question; the number of questions over TCP
 
     def put(self, name, kind, *values, ttl=5):
+        """Sets the records of a name and type; without values, deletes them."""
         if values:
             self.zone[name, kind] = (ttl, list(values))
         else:
             self.zone.pop((name, kind), None)
 
-    def box(self, service, instance, host, address, port, ttl=5, **words):
-        """A box announced by DNS-SD."""
+    def box(self, service, instance, host, address, port, ttl=5, **attributes):
+        """Announces a model server by DNS-SD, with `attributes` in its TXT record."""
         full = f"{instance}.{service}".lower()
         ttl_now, names = self.zone.get((service, "PTR"), (ttl, []))
         self.zone[service, "PTR"] = (ttl, sorted({*names, full}))
         self.put(full, "SRV", f"0 0 {port} {host}", ttl=ttl)
-        self.put(full, "TXT", " ".join(f'"{k}={v}"' for k, v in words.items()) or '""', ttl=ttl)
+        self.put(full, "TXT", " ".join(f'"{key}={value}"' for key, value in attributes.items()) or '""', ttl=ttl)
         self.put(host, "A", address, ttl=ttl)
 
     def withdraw(self, service, instance):
+        """Removes an instance from the PTR records of its service."""
         ttl, names = self.zone.get((service, "PTR"), (5, []))
-        self.zone[service, "PTR"] = (ttl, [n for n in names if n != f"{instance}.{service}".lower()])
+        self.zone[service, "PTR"] = (ttl, [name for name in names if name != f"{instance}.{service}".lower()])
         if not self.zone[service, "PTR"][1]:
             del self.zone[service, "PTR"]
 
     def answer(self, data, udp):
+        """Returns the answer to a query, both as wire bytes. Follows aliases (CNAME)."""
         query = dns.message.from_wire(data)
-        out = dns.message.make_response(query)
-        out.flags |= dns.flags.AA
+        response = dns.message.make_response(query)
+        response.flags |= dns.flags.AA
         question = query.question[0]
         name, kind = question.name.to_text().lower(), dns.rdatatype.to_text(question.rdtype)
         self.asked.append((name, kind))
         if self.rcode:
-            out.set_rcode(dns.rcode.from_text(self.rcode))
-            return out.to_wire()
+            response.set_rcode(dns.rcode.from_text(self.rcode))
+            return response.to_wire()
         for _ in range(20):
             if (name, kind) in self.zone:
                 ttl, values = self.zone[name, kind]
-                out.answer.append(dns.rrset.from_text(name, ttl, "IN", kind, *values))
+                response.answer.append(dns.rrset.from_text(name, ttl, "IN", kind, *values))
                 break
             alias = self.zone.get((name, "CNAME"))
             if alias is None:
-                if not any(n == name for n, _ in self.zone):
-                    out.set_rcode(dns.rcode.NXDOMAIN)
+                if not any(known == name for known, _ in self.zone):
+                    response.set_rcode(dns.rcode.NXDOMAIN)
                 break
-            out.answer.append(dns.rrset.from_text(name, alias[0], "IN", "CNAME", alias[1][0]))
+            response.answer.append(dns.rrset.from_text(name, alias[0], "IN", "CNAME", alias[1][0]))
             name = alias[1][0]
-        wire = out.to_wire(max_size=65535)
-        if udp and (self.truncate or len(wire) > 1232):
-            cut = dns.message.make_response(query)
-            cut.flags |= dns.flags.TC
-            return cut.to_wire()
+        wire = response.to_wire(max_size=65535)
+        if udp and (self.truncate or len(wire) > MAX_UDP_BYTES):
+            truncated = dns.message.make_response(query)
+            truncated.flags |= dns.flags.TC
+            return truncated.to_wire()
         return wire
 
-    def spoil(self, wire):
+    def corrupt(self, wire):
+        """Returns the answer as the fault `garbage` changes it."""
         if self.garbage == "bytes":
             return b"\xff" * 40
         if self.garbage == "id":
@@ -87,7 +104,7 @@
         if self.garbage == "question":
             other = dns.message.make_response(dns.message.make_query("other.example.", "A"))
             return wire[:2] + other.to_wire()[2:]
-        if self.garbage == "loop":  # a name that points at itself
+        if self.garbage == "loop":  # a compression pointer that points at itself
             return wire[:6] + b"\x00\x02\x00\x00\x00\x00" + wire[12:] + b"\xc0" + bytes([len(wire) & 0xFF]) * 3
         return wire
 
@@ -99,18 +116,18 @@
                 return
             if self.silent:
                 continue
-            wire = self.spoil(self.answer(data, True))
+            wire = self.corrupt(self.answer(data, True))
             if self.garbage == "sender":
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
                     other.sendto(wire, sender)
                 continue
             if self.delay_ms:
-                self.loop.call_later(self.delay_ms * 1000, self.sock.sendto, wire, sender)
+                self.loop.call_later(self.delay_ms * US_PER_MS, self.sock.sendto, wire, sender)
             else:
                 self.sock.sendto(wire, sender)
 
     def accept(self, stream, _peer):
-        Tcp(self, stream)
+        TcpConnection(self, stream)
 
     def close(self):
         self.loop.watch(self.sock, 0, None)
@@ -118,19 +135,21 @@
         self.listener.close()
 
 
-class Tcp:
+class TcpConnection:
+    """One client connection over TCP: messages with a length of two bytes in front."""
+
     def __init__(self, server, stream):
-        self.server, self.stream, self.raw = server, stream, b""
+        self.server, self.stream, self.received = server, stream, b""
         stream.owner = self
 
     def on_data(self, data):
-        self.raw += data
-        if len(self.raw) < 2 or len(self.raw) < 2 + int.from_bytes(self.raw[:2], "big") or self.server.silent:
+        self.received += data
+        if len(self.received) < 2 or len(self.received) < 2 + int.from_bytes(self.received[:2], "big") or self.server.silent:
             return
         self.server.over_tcp += 1
-        wire = self.server.spoil(self.server.answer(self.raw[2:], False))
+        wire = self.server.corrupt(self.server.answer(self.received[2:], False))
         wire = len(wire).to_bytes(2, "big") + wire
-        self.raw = b""
+        self.received = b""
         if self.server.cut_tcp:
             self.stream.write(wire[: len(wire) // 2])
             return self.stream.close()
@@ -138,10 +157,10 @@
             return self.drip(wire, 0)
         self.stream.write(wire)
 
-    def drip(self, wire, at):
-        if at < len(wire) and not self.stream.closed:
-            self.stream.write(wire[at : at + 1])
-            self.server.loop.call_later(self.server.drip_ms * 1000, self.drip, wire, at + 1)
+    def drip(self, wire, offset):
+        if offset < len(wire) and not self.stream.closed:
+            self.stream.write(wire[offset : offset + 1])
+            self.server.loop.call_later(self.server.drip_ms * US_PER_MS, self.drip, wire, offset + 1)
 
     def on_eof(self):
         self.stream.close()
