--- a/lapiswing/standin/demo.py
+++ b/lapiswing/standin/demo.py
@@ -1,4 +1,4 @@
-"""The demo's files: settings of a gateway and a fleet of stand-ins, on free ports of this machine."""
+"""Writes the files of the demo: settings of a gateway and a fleet of stand-in servers, on free ports of this machine."""
 
 import tempfile
 from pathlib import Path
@@ -22,19 +22,22 @@
 
 
 def write_demo(port, count):
-    """-> the paths of settings and fleet, in a new folder."""
+    """Writes both files to a new folder. Returns the paths of the settings and the fleet file."""
     readers = max(1, count * 2 // 5)
-    rows = [(f"127.0.0.1:{p}", "read" if i < readers else "write") for i, p in enumerate(free_ports(count))]
+    servers = [
+        (f"127.0.0.1:{server_port}", "read" if i < readers else "write") for i, server_port in enumerate(free_ports(count))
+    ]
     folder = Path(tempfile.mkdtemp(prefix="lapiswing-demo-"))
     fleet = {
-        "boxes": [{"id": i, "role": role, "step_ms": 25} for i, role in rows],
+        "boxes": [{"id": address, "role": role, "step_ms": 25} for address, role in servers],
         "models": {"order-set": {"scope": "all", "window_ms": 5000}},
     }
     (folder / "fleet.json").write_bytes(orjson.dumps(fleet))
     text = SETTINGS.format(
         port=port,
         boxes="".join(
-            f'box {{ id: "{i}" kind: "{"prefill" if role == "read" else "decode"}" zone: "a" cell: "a" }}\n' for i, role in rows
+            f'box {{ id: "{address}" kind: "{"prefill" if role == "read" else "decode"}" zone: "a" cell: "a" }}\n'
+            for address, role in servers
         ),
     )
     (folder / "settings.txtpb").write_text(text)
--- a/lapiswing/standin/platform.py
+++ b/lapiswing/standin/platform.py
@@ -1,35 +1,41 @@
-"""Stand-ins for what the operators' platform puts around a gateway: model servers that read and write, and discovery.
-Written from the platform's protocol page; they say what they saw, and misbehave where a test tells them to.
+"""Stand-ins for the services of the platform that a gateway talks to: model servers, which read (prefill) and write (decode), and
+discovery. They speak the platform's protocol, record what they received, and fail as a test tells them to.
 
-A model server's `fault(exchange)` is asked first for each request; where it returns true it has taken it over."""
+A model server calls its `fault(exchange)`, if set, first for each request; a true result means that the fault has handled the
+request."""
 
 import orjson
 
 from lapiswing.http1 import Limits, Server
 from lapiswing.loop import Listener, listen_socket
 
-MS = 1000
-LONG = 3600_000 * MS
+US_PER_MS = 1000
+TIMEOUT_US = 3600_000 * US_PER_MS  # longer than any test
 
 
 def serve(loop, app, host="127.0.0.1"):
-    server = Server(loop, app, Limits(head_us=LONG, body_us=LONG, idle_us=LONG))
+    """Starts an HTTP server on a free port."""
+    server = Server(loop, app, Limits(head_us=TIMEOUT_US, body_us=TIMEOUT_US, idle_us=TIMEOUT_US))
     server.listener = Listener(loop, listen_socket(host, 0), server.accept)
     return server
 
 
 class ModelServer:
+    """One model server; `role` is read, write or both."""
+
     def __init__(self, platform, name, role, zone="a", group=0):
         self.platform, self.name, self.role, self.zone, self.group = platform, name, role, zone, group
         self.status, self.since_ms, self.fault, self.load = "SERVING", 0, None, None
-        self.events, self.pause_us, self.read_us = 3, 2 * MS, 2 * MS
-        self.reading = set()  # ids whose read is under way; a release reaches these too
-        self.seen, self.states, self.left = [], set(), 0  # (method, path, id, body); ids held; requests given up
-        self.seen_us = []  # when each of `seen` came
+        self.events, self.pause_us, self.read_us = 3, 2 * US_PER_MS, 2 * US_PER_MS  # pause_us: between the events of a stream
+        self.reading = set()  # ids of requests whose read is in progress; a release also covers these
+        # The (method, path, request id, body) of each request; ids whose read state is held here; number of abandoned requests.
+        self.seen, self.states, self.left = [], set(), 0
+        self.seen_us = []  # arrival time of each entry of `seen`
         self.server = serve(platform.loop, self.app)
         self.address = "127.0.0.1:%d" % self.server.listener.address[1]
 
     def row(self):
+        """The entry of this server in the list of discovery."""
         return {
             "name": self.name,
             "address": self.address,
@@ -42,9 +48,11 @@
         }
 
     def more(self):
+        """The load header, if there is a load to report."""
         return [(b"srv-load", self.load)] if self.load else []
 
     def decline(self, exchange, status):
+        """Rejects a request without having started on it."""
         exchange.respond(status, b"", more=[(b"srv-declined", b"1"), *self.more()])
 
     def app(self, exchange):
@@ -59,7 +67,7 @@
             return exchange.respond(200, self.load or b"", b"text/plain", more=self.more())
         if not rid:
             return exchange.respond(404)
-        exchange.on_left = self.gone
+        exchange.on_left = self.gone  # the client closed the connection before the answer ended
         if self.role == "read":
             self.reading.add(rid)
             return self.platform.loop.call_later(self.read_us, self.have_read, exchange, rid)
@@ -74,6 +82,7 @@
         self.left += 1
 
     def room(self, exchange, rid):
+        """The endpoint of a read state: DELETE releases it on all servers, any other method makes this server hold it."""
         if exchange.method == b"DELETE":
             for server in self.platform.servers.values():
                 server.states.discard(rid)
@@ -83,6 +92,7 @@
         exchange.respond(200)
 
     def have_read(self, exchange, rid):
+        """Ends a read: from now on the state is held, unless it was released meanwhile."""
         if not exchange.over:
             if rid in self.reading:
                 self.reading.discard(rid)
@@ -91,12 +101,13 @@
 
     @staticmethod
     def event(number):
+        """The bytes of one content event of a stream."""
         return b"data: %b\n\n" % orjson.dumps(
             {"choices": [{"index": 0, "delta": {"content": f"w{number} "}, "finish_reason": None}]}
         )
 
     def whole(self):
-        """The bytes of a whole stream."""
+        """The bytes of a complete stream: content events, usage, end mark and load."""
         usage = {"prompt_tokens": 8, "completion_tokens": 8, "prompt_tokens_details": {"cached_tokens": 0}}
         return (
             b"".join(self.event(i) for i in range(self.events))
@@ -105,6 +116,7 @@
         )
 
     def step(self, exchange, number):
+        """Sends event `number` of a stream and schedules the next one."""
         if exchange.over:
             return
         if number == 0:
@@ -117,17 +129,20 @@
 
 
 class Discovery:
-    """`tell(changes)` answers the watches; `silent` answers nothing, `garbage` what can't be read."""
+    """The discovery service: lists model servers and answers long polls (watches) for changes to the list.
+
+    `tell(*rows)` publishes changes. Faults: `silent` sends no answers, `garbage` sends answers that can't be parsed."""
 
     def __init__(self, platform):
-        self.platform, self.index, self.waiting, self.log = platform, 1, [], []  # log: (index, row)
+        self.platform, self.index, self.waiting, self.log = platform, 1, [], []  # waiting: (exchange, index); log: (index, row)
         self.silent = self.garbage = False
         self.calls = 0
         self.server = serve(platform.loop, self.app)
         self.address = "127.0.0.1:%d" % self.server.listener.address[1]
 
     def whole(self):
-        rows = [s.row() for s in self.platform.servers.values()]
+        """The complete list."""
+        rows = [server.row() for server in self.platform.servers.values()]
         return {"index": self.index, "snapshot": True, "endpoints": rows}
 
     def app(self, exchange):
@@ -143,18 +158,21 @@
         if after < self.index:
             return self.answer(exchange, after)
         self.waiting.append((exchange, after))
-        self.platform.loop.call_later(int(query.get(b"wait_ms", 0)) * MS, self.late, exchange, after)
+        self.platform.loop.call_later(int(query.get(b"wait_ms", 0)) * US_PER_MS, self.late, exchange, after)
 
     def late(self, exchange, after):
+        """Answers a watch whose waiting time is over."""
         if (exchange, after) in self.waiting and not exchange.over:
             self.waiting.remove((exchange, after))
             self.answer(exchange, after)
 
     def answer(self, exchange, after):
+        """Sends the latest row of each server that changed after the index `after`."""
         latest = {row["name"]: row for index, row in self.log if index > after}
         exchange.json(200, {"index": self.index, "snapshot": False, "endpoints": list(latest.values())})
 
     def tell(self, *rows):
+        """Adds changed rows under a new index and answers the waiting watches."""
         self.index += 1
         self.log.extend((self.index, row) for row in rows)
         waiting, self.waiting = self.waiting, []
@@ -164,6 +182,8 @@
 
 
 class Platform:
+    """A set of model servers and their discovery."""
+
     def __init__(self, loop, roles=("read", "write", "write")):
         self.loop, self.servers, self.retired, self.count = loop, {}, [], 0
         for role in roles:
@@ -177,7 +197,7 @@
         return server
 
     def remove(self, server):
-        """Its row as discovery tells of it; the process ends."""
+        """Ends a server and returns the row with which discovery reports its removal."""
         del self.servers[server.name]
         self.retired.append(server)
         server.server.listener.close()
@@ -185,12 +205,16 @@
         return {**server.row(), "status": "DELETED"}
 
     def holder(self, rid):
-        return next((s for s in self.servers.values() if rid in s.states), None)
+        """Returns the server that holds the read state of a request, or None."""
+        return next((server for server in self.servers.values() if rid in server.states), None)
 
     def seen(self, *methods):
-        """All (server, method, target, id, body) that model servers saw, in each one's order."""
+        """(server, method, target, request id, body) of all requests to model servers, in order of arrival at each server."""
         return [
-            (s.name, *row) for s in [*self.retired, *self.servers.values()] for row in s.seen if not methods or row[0] in methods
+            (server.name, *row)
+            for server in [*self.retired, *self.servers.values()]
+            for row in server.seen
+            if not methods or row[0] in methods
         ]
 
     def close(self):
--- a/lapiswing/standin/relay.py
+++ b/lapiswing/standin/relay.py
@@ -118,7 +118,7 @@
 
     def __init__(self, pair, stream, is_client):
         self.pair, self.stream, self.is_client = pair, stream, is_client
-        self.queue, self.free_us, self.delayed_bytes = [], 0, 0  # free_us: when the link has sent all earlier bytes
+        self.pending_writes, self.free_us, self.delayed_bytes = [], 0, 0  # free_us: when the link has sent all earlier bytes
         stream.owner = self
 
     def on_data(self, data):
