--- a/lapiswing/standin/box.py
+++ b/lapiswing/standin/box.py
@@ -1,4 +1,9 @@
-"""One stand-in box: reads prompts, holds read states, writes answers in steps, and fails on demand."""
+"""A stand-in model server ("box").
+
+It reads prompts (prefill), holds read states, writes answers in steps (decode), and fails on demand.
+
+The answer to a prompt is a sequence of words that depends only on the prompt, so that a test can recognize missing, repeated or
+foreign parts of it. One word is one token."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass
@@ -14,7 +19,7 @@
 from lapiswing.standin.relay import Relay
 from lapiswing.transfer.agent import Agent
 
-MS = 1000
+US_PER_MS = 1000
 WORDS = (
     "soup",
     "rice",
@@ -33,137 +38,158 @@
     "mint",
     "nuts",
 )
-STATE_KEPT_US = 8_000_000  # a state that nobody took or released goes by itself after this
+STATE_TIMEOUT_US = 8_000_000  # a read state that is neither fetched nor released is dropped after this
+FETCH_TIMEOUT_US = 1_000_000
 BYTES_PER_TOKEN = 4.0
 
 
 @dataclass
 class BoxSpec:
-    """Sizes are tokens, rates a second. `rate` is how many reqs a second it serves warm: what the cold rule counts in."""
+    """Settings of one server; the field names are those of a fleet file.
+
+    Sizes are in tokens. A cold server (one that has just started) works slowly at first and fails under overload: it starts at
+    the fraction `cold_from` of its speed and reaches full speed after `ramp_ms`. Until then it fails if, within `overload_ms`,
+    more requests arrive than `fall_multiple` times what it can serve at its present speed, plus `slack`."""
 
     id: str
     role: str = "both"
     zone: str = "a"
     cell: str = "a"
     kind: str = ""
-    read_per_s: float = 20000.0
-    read_queue: int = 48
-    slots: int = 64
-    queue: int = 32
-    memory: int = 200000
-    kept: int = 400000
-    step_ms: float = 10.0
-    per_stream_ms: float = 0.1
-    near_per_s: float = 300000.0
-    far_times: float = 3.0
-    rate: float = 10.0
+    read_per_s: float = 20000.0  # tokens per second
+    read_queue: int = 48  # maximum number of requests that wait for a read
+    slots: int = 64  # maximum number of requests that write at once
+    queue: int = 32  # maximum number of requests that wait for a slot
+    memory: int = 200000  # tokens of read states and running writes
+    kept: int = 400000  # tokens in the prefix cache
+    step_ms: float = 10.0  # duration of a step, which writes one token of each stream
+    per_stream_ms: float = 0.1  # added to a step for each stream
+    near_per_s: float = 300000.0  # tokens of a read state per second, from a server of the same cell
+    far_times: float = 3.0  # factor on the transfer time between cells of a zone; twice this between zones
+    rate: float = 10.0  # requests per second that it serves when warm
     cold_from: float = 0.3
     ramp_ms: float = 4000.0
     fall_multiple: float = 2.5
     overload_ms: float = 1000.0
     slack: float = 4.0
-    state_bytes: int = 0  # of a state for each token, moved by transfer agents; 0: states are moved in name only
-    plain_moves: bool = False  # agents without resumption and order, to measure against
-    started_ms: int = 0  # Unix; 0: long ago
-    listed: bool = True  # whether the lab's list names it at the start
+    state_bytes: int = 0  # bytes of a read state per token, sent by transfer agents; 0: transfers are simulated by a delay
+    plain_moves: bool = False  # transfer agents without resumption and priorities, as a baseline for comparison
+    started_ms: int = 0  # Unix time; 0: long ago
+    listed: bool = True  # whether the lab's list contains it at the start
     up: bool = True
 
 
 @dataclass
 class Faults:
-    slow: float = 1.0
-    hang: bool = False  # takes requests and never answers
-    stall: bool = False  # streams bring nothing more
-    errors: float = 0.0  # part that is answered 500 at once
-    lost: float = 0.0  # part whose answer is lost after the work
-    reset_at: int = 0  # the connection is reset after so many bytes of a stream
-    garbage: str = ""  # bytes, head, line, json: what comes in place of an answer
-    refuse: bool = False  # 503 without proof
+    """Faults of one server; the field names are those of the fault script."""
+
+    slow: float = 1.0  # factor on the duration of reads and steps
+    hang: bool = False  # accepts requests and never answers
+    stall: bool = False  # running streams send nothing more
+    errors: float = 0.0  # fraction of the requests that is answered with 500 at once
+    lost: float = 0.0  # fraction of the requests whose connection is reset after the work is done
+    reset_at: int = 0  # the connection is reset after this many bytes of a stream
+    garbage: str = ""  # what is sent in place of an answer: "bytes", "head" (endless), "line" (overlong) or "json" (malformed)
+    refuse: bool = False  # 503 without the header that says that no work was done
     draining: bool = False
-    path_slow: float = 0.0  # bytes a second that what it sends to other boxes may have
-    path_flip: float = 0.0  # part of the pieces of it in which a byte is flipped
-    path_cut: float = 0.0  # ms after which each connection of it is cut
-    path_hold: bool = False  # it brings nothing, and nobody is told
+    # Faults of the link over which it sends read states to other servers:
+    path_slow: float = 0.0  # bandwidth in bytes per second
+    path_flip: float = 0.0  # fraction of the transmitted pieces in which a byte is corrupted
+    path_cut: float = 0.0  # ms after which each connection is reset
+    path_hold: bool = False  # drops all bytes and leaves the connections open
 
 
 class Job:
-    """One forward at this box."""
+    """One attempt of a request at this server.
+
+    `name`: the request id. `lab`: the id of the client's call in a lab run, or None. `key`: the idempotency key or None."""
 
     def __init__(self, exchange, call, name, lab, key):
         self.exchange, self.call, self.name, self.lab, self.key = exchange, call, name, lab, key
         self.over = self.counted = False
         texts = call.texts
         last = call.raw["messages"][-1]
-        self.done_words = 0
+        self.done_words = 0  # words of the answer that the prompt already contains
         if call.raw.get("continue_final_message") and last.get("role") == "assistant":
             self.done_words = len((last.get("content") or "").split())
             self.seed = crc32("\0".join(texts[:-1]).encode())
         else:
             self.seed = crc32("\0".join(texts).encode())
         self.tokens = estimate_prompt_tokens(texts, BYTES_PER_TOKEN)
-        wanted = (call.raw.get("metadata") or {}).get("answer_tokens")
-        self.length = int(wanted) if wanted else 12 + self.seed % 40
-        self.stop = "stop"
+        requested_tokens = (call.raw.get("metadata") or {}).get("answer_tokens")
+        self.length = int(requested_tokens) if requested_tokens else 12 + self.seed % 40
+        self.finish_reason = "stop"
         if call.max_tokens is not None and call.max_tokens + self.done_words < self.length:
-            self.length, self.stop = call.max_tokens + self.done_words, "length"
-        self.at, self.sent = self.done_words, 0
+            self.length, self.finish_reason = call.max_tokens + self.done_words, "length"
+        self.next_word, self.sent_bytes = self.done_words, 0
 
-    def word(self, i):
-        return word(self.seed, i)
+    def word(self, index):
+        return answer_word(self.seed, index)
 
 
-def state_of(seed, size):
-    """A state's bytes: its seed, then what chance makes of it."""
+def make_state(seed, size):
+    """The bytes of a read state: the seed of the answer, then pseudorandom bytes."""
     return seed.to_bytes(4, "big") + np.random.default_rng(seed).bytes(max(0, size - 4))
 
 
-def word(seed, i):
-    return WORDS[crc32(b"%d/%d" % (seed, i)) % len(WORDS)] + " "
+def answer_word(seed, index):
+    """One word of the answer to the prompt with this seed."""
+    return WORDS[crc32(b"%d/%d" % (seed, index)) % len(WORDS)] + " "
 
 
 def answer_to(texts, length):
-    """What every stand-in answers to a prompt; a gap or a doubled token shows against it."""
+    """The answer of every stand-in to a prompt; an answer with missing or repeated tokens differs from it."""
     seed = crc32("\0".join(texts).encode())
-    return "".join(word(seed, i) for i in range(length))
+    return "".join(answer_word(seed, index) for index in range(length))
 
 
 class Box:
+    """A stand-in model server with its port, queues, read states and faults."""
+
     def __init__(self, loop, spec, fleet, record, pool):
         self.loop, self.spec, self.fleet, self.record, self.pool = loop, spec, fleet, record, pool
-        self.faults, self.draws = Faults(), 0
+        self.faults, self.random_draws = Faults(), 0
         self.host, _, port = spec.id.rpartition(":")
         self.port, self.listener, self.server = int(port), None, None
         self.started_us = 0
-        self.fell, self.fetches = False, set()  # fetches: jobs whose state is on its way
+        # fell: failed under overload while cold; fetches: jobs whose read state is being fetched
+        self.fell, self.fetches = False, set()
         self.reset()
 
     def reset(self):
-        """A start: nothing is kept."""
-        self.states, self.held_tokens, self.kept = {}, 0, OrderedDict()
-        self.reading, self.read_line, self.write_line, self.running = None, deque(), deque(), []
-        self.stepping, self.arrivals, self.places = False, deque(), {}
-        self.moves = {}  # job -> its fetch
+        """Clears all state, as the start of a process does."""
+        self.states, self.held_tokens, self.prefix_cache = {}, 0, OrderedDict()
+        self.reading, self.waiting_reads, self.waiting_writes, self.running = None, deque(), deque(), []
+        self.stepping, self.cold_arrivals_us, self.places = False, deque(), {}
+        self.moves = {}  # job -> the fetch of its read state by the transfer agent
 
     def start_agent(self):
-        """Its states are real bytes, and go to other boxes over a relay that the fault script can spoil."""
+        """Starts the transfer agent, which sends read states to other servers over a relay with the faults of the script."""
         spec = self.spec
         self.agent = Agent(self.loop, spec.id, [b"stand-ins"], spec.memory * spec.state_bytes * 2, 65536, plain=spec.plain_moves)
         self.agent.on_taken = lambda name: self.drop_state(name, "taken")
         if self.started_us:
-            self.agent.slow_start_until_us = self.started_us + round(spec.ramp_ms * MS)
+            self.agent.slow_start_until_us = self.started_us + round(spec.ramp_ms * US_PER_MS)
         self.relay = Relay(self.loop, self.agent.listen(self.host, 0))
-        self.spoil()
+        self.apply_link_faults()
 
-    def spoil(self):
+    def apply_link_faults(self):
+        """Sets the faults of the relay after a change of `faults`."""
         if self.relay is not None:
-            f, r = self.faults, self.relay
-            r.rate, r.flip_part, r.cut_every_ms, r.hold = f.path_slow or None, f.path_flip, f.path_cut or None, f.path_hold
+            faults, relay = self.faults, self.relay
+            relay.rate, relay.flip_part, relay.cut_every_ms, relay.hold = (
+                faults.path_slow or None,
+                faults.path_flip,
+                faults.path_cut or None,
+                faults.path_hold,
+            )
 
     agent = relay = None
 
-    # ---- life
+    # ---- start and end
 
     def start(self, cold=False):
+        """Listens on its port; `cold`: as a process that has just started."""
         sock = listen_socket(self.host, self.port)
         self.port = sock.getsockname()[1]
         self.server = Server(self.loop, self.app, Limits(body_bytes=16 << 20, idle_us=60_000_000))
@@ -175,7 +201,7 @@
         self.put("up", cold=cold)
 
     def die(self):
-        """As a killed process: the port is closed, connections are reset."""
+        """Ends as a killed process does: the port is closed, connections are reset."""
         if self.listener is None:
             return
         self.put("down")
@@ -189,27 +215,30 @@
         self.reset()
 
     def put(self, ev, **fields):
+        """Records an event of this server."""
         self.record.put(ev, box=self.spec.id, **fields)
 
-    def chance(self):
-        self.draws += 1
-        return crc32(f"{self.fleet.seed}/{self.spec.id}/{self.draws}".encode()) / 4294967296.0
+    def draw_random(self):
+        """Returns a pseudorandom number in [0, 1), fixed by the fleet's seed, the server and the number of earlier draws."""
+        self.random_draws += 1
+        return crc32(f"{self.fleet.seed}/{self.spec.id}/{self.random_draws}".encode()) / 4294967296.0
 
     # ---- requests
 
     def load(self):
-        waiting = len(self.read_line) + len(self.write_line)
+        """The load reported to gateways. x0: fraction of the memory in use; x1: thousands of tokens that wait for a read."""
+        waiting = len(self.waiting_reads) + len(self.waiting_writes)
         inflight = waiting + len(self.running) + (self.reading is not None)
         return {
             "inflight": inflight,
             "queue": waiting,
             "x0": round(self.held_tokens / self.spec.memory, 3),
-            "x1": round(sum(j.tokens for j in self.read_line) / 1000, 3),
+            "x1": round(sum(job.tokens for job in self.waiting_reads) / 1000, 3),
             "draining": float(self.faults.draining),
         }
 
     def load_header(self):
-        return (b"x-load", ", ".join(f"{k}={v:g}" for k, v in self.load().items()).encode())
+        return (b"x-load", ", ".join(f"{name}={value:g}" for name, value in self.load().items()).encode())
 
     def app(self, exchange):
         path, method = exchange.path, exchange.method
@@ -217,14 +246,14 @@
             return self.chat(exchange)
         if path.startswith(b"/v1/states/"):
             name = path[11:].decode()
-            return self.let_go(exchange, name) if method == b"DELETE" else self.give(exchange, name)
+            return self.release_state(exchange, name) if method == b"DELETE" else self.give(exchange, name)
         if self.faults.hang:
             return None
         if path == b"/load":
             return exchange.json(200, self.load(), more=[self.load_header()])
         if path == b"/v1/places" and method == b"POST":
             body = orjson.loads(exchange.body)
-            held = len(self.running) < self.spec.slots and not self.write_line and self.fits(body["tokens"])
+            held = len(self.running) < self.spec.slots and not self.waiting_writes and self.fits(body["tokens"])
             if held:
                 self.places[body["request_id"]] = body["tokens"]
                 self.put("place", name=body["request_id"])
@@ -247,17 +276,17 @@
         job.stage = "read" if params.get("do_remote_decode") else "write" if params.get("do_remote_prefill") else "direct"
         job.params = params
         self.put("arrive", name=name, lab=lab, stage=job.stage, key=key, model=call.model)
-        job.t = self.loop.clock.now_us()
-        exchange.on_left = lambda: self.left(job)
+        job.arrived_us = self.loop.clock.now_us()
+        exchange.on_left = lambda: self.abandon(job)
         self.count_cold(job)
         if self.listener is None:
-            return None  # it fell over just now
+            return None  # this request made it fail
         faults = self.faults
         if faults.hang:
             return None
         if faults.garbage:
-            return self.garbage(job)
-        if faults.errors and self.chance() < faults.errors:
+            return self.send_garbage(job)
+        if faults.errors and self.draw_random() < faults.errors:
             return self.answer_error(job, 500, "broken on purpose")
         if faults.refuse:
             return self.answer_error(job, 503, "no reason given")
@@ -268,16 +297,17 @@
         if job.stage == "direct" and self.spec.role != "both":
             return self.refuse(job, b"no-state")
         if job.stage == "write":
-            if len(self.write_line) >= self.spec.queue:
+            if len(self.waiting_writes) >= self.spec.queue:
                 return self.refuse(job, b"full")
-            self.write_line.append(job)
+            self.waiting_writes.append(job)
             return self.begin_writes()
-        if len(self.read_line) >= self.spec.read_queue:
+        if len(self.waiting_reads) >= self.spec.read_queue:
             return self.refuse(job, b"full")
-        self.read_line.append(job)
+        self.waiting_reads.append(job)
         self.begin_read()
 
     def refuse(self, job, why):
+        """Rejects a request, with the header that says that no work was done."""
         self.end(job, "refused", why=why.decode())
         job.exchange.json(
             503, {"error": {"message": why.decode(), "type": "server_error"}}, more=[(b"x-refusal", why), self.load_header()]
@@ -288,19 +318,20 @@
         job.exchange.json(status, {"error": {"message": why, "type": "server_error"}}, more=[self.load_header()])
 
     def end(self, job, how, **more):
+        """Records the end of a job, once."""
         if not job.over:
             job.over = True
             self.put("end", name=job.name, lab=job.lab, stage=job.stage, how=how, **more)
 
-    def left(self, job):
-        """The gateway has gone from this forward: waiting and running work stops."""
+    def abandon(self, job):
+        """Stops the waiting and running work of an attempt whose connection the gateway has closed."""
         if job.over:
             return
         self.end(job, "left")
-        if job in self.read_line:
-            self.read_line.remove(job)
-        if job in self.write_line:
-            self.write_line.remove(job)
+        if job in self.waiting_reads:
+            self.waiting_reads.remove(job)
+        if job in self.waiting_writes:
+            self.waiting_writes.remove(job)
         if job in self.running:
             self.running.remove(job)
             self.held_tokens -= job.tokens
@@ -315,89 +346,99 @@
         self.begin_writes()
 
     def count_cold(self, job):
-        """Falls over when it is pushed while cold: what is sent within a window against what it can do then."""
-        s = self.spec
+        """Counts a request to a cold server, which fails if more arrived within the window than BoxSpec allows."""
+        spec = self.spec
         if not self.started_us or self.fell:
             return
         now = self.loop.clock.now_us()
-        age = now - self.started_us
-        if age > s.ramp_ms * MS:
+        age_us = now - self.started_us
+        if age_us > spec.ramp_ms * US_PER_MS:
             return
-        window = s.overload_ms * MS
-        self.arrivals.append(now)
-        while self.arrivals[0] < now - window:
-            self.arrivals.popleft()
-        level = s.cold_from + (1 - s.cold_from) * age / (s.ramp_ms * MS)
-        budget = s.fall_multiple * level * s.rate * s.overload_ms / 1000 + s.slack
-        self.put("cold", part=round(len(self.arrivals) / budget, 3))
-        if len(self.arrivals) > budget:
+        window_us = spec.overload_ms * US_PER_MS
+        self.cold_arrivals_us.append(now)
+        while self.cold_arrivals_us[0] < now - window_us:
+            self.cold_arrivals_us.popleft()
+        speed = spec.cold_from + (1 - spec.cold_from) * age_us / (spec.ramp_ms * US_PER_MS)
+        budget = spec.fall_multiple * speed * spec.rate * spec.overload_ms / 1000 + spec.slack
+        self.put("cold", part=round(len(self.cold_arrivals_us) / budget, 3))
+        if len(self.cold_arrivals_us) > budget:
             self.fell = True
-            self.put("fell", sent=len(self.arrivals), budget=round(budget, 2))
+            self.put("fell", sent=len(self.cold_arrivals_us), budget=round(budget, 2))
             self.die()
 
-    def level(self):
+    def relative_speed(self):
+        """The present speed as a fraction of the full speed: less than 1 while it is cold."""
         if not self.started_us:
             return 1.0
-        s = self.spec
-        age = self.loop.clock.now_us() - self.started_us
-        return min(1.0, s.cold_from + (1 - s.cold_from) * age / (s.ramp_ms * MS))
+        spec = self.spec
+        age_us = self.loop.clock.now_us() - self.started_us
+        return min(1.0, spec.cold_from + (1 - spec.cold_from) * age_us / (spec.ramp_ms * US_PER_MS))
 
     # ---- reading
 
     def begin_read(self):
-        if self.reading is not None or not self.read_line or not self.fits(self.read_line[0].tokens):
+        """Starts the next waiting read, if none runs and the memory suffices."""
+        if self.reading is not None or not self.waiting_reads or not self.fits(self.waiting_reads[0].tokens):
             return
-        job = self.reading = self.read_line.popleft()
-        job.kept = self.kept_of(job)
-        took = (job.tokens - job.kept) / self.spec.read_per_s / self.level() * self.faults.slow
-        job.timer = self.loop.call_later(round(took * 1e6) + 200, self.has_read, job)
+        job = self.reading = self.waiting_reads.popleft()
+        job.cached_tokens = self.find_cached_tokens(job)
+        duration_s = (job.tokens - job.cached_tokens) / self.spec.read_per_s / self.relative_speed() * self.faults.slow
+        job.timer = self.loop.call_later(round(duration_s * 1e6) + 200, self.finish_read, job)
 
     def fits(self, tokens):
+        """Whether the memory suffices; an empty server takes a request of any size."""
         return self.held_tokens + tokens <= self.spec.memory or self.held_tokens == 0
 
-    def chain(self, job):
-        digest, tokens, out = 0, 0, []
+    def prefixes(self, job):
+        """[(digest, tokens)] of the prompt up to the end of each text."""
+        digest, tokens, prefixes = 0, 0, []
         for text in job.call.texts:
             digest = crc32(text.encode(), digest)
             tokens += estimate_prompt_tokens([text], BYTES_PER_TOKEN)
-            out.append((digest, tokens))
-        return out
+            prefixes.append((digest, tokens))
+        return prefixes
 
-    def kept_of(self, job):
-        return min(max((tokens for digest, tokens in self.chain(job) if digest in self.kept), default=0), job.tokens - 1)
+    def find_cached_tokens(self, job):
+        """The length of the longest cached prefix; at least one token is always read."""
+        return min(
+            max((tokens for digest, tokens in self.prefixes(job) if digest in self.prefix_cache), default=0), job.tokens - 1
+        )
 
-    def keep(self, job):
-        for digest, tokens in self.chain(job):
-            self.kept[digest] = tokens
-            self.kept.move_to_end(digest)
-        while sum(self.kept.values()) > self.spec.kept and len(self.kept) > 1:
-            self.kept.popitem(last=False)
+    def cache_prefixes(self, job):
+        """Adds the prompt to the prefix cache and evicts the least recently used entries."""
+        for digest, tokens in self.prefixes(job):
+            self.prefix_cache[digest] = tokens
+            self.prefix_cache.move_to_end(digest)
+        while sum(self.prefix_cache.values()) > self.spec.kept and len(self.prefix_cache) > 1:
+            self.prefix_cache.popitem(last=False)
 
     def flush(self, part):
-        for digest in list(self.kept):
-            if self.chance() < part:
-                del self.kept[digest]
+        """Drops each entry of the prefix cache with probability `part`."""
+        for digest in list(self.prefix_cache):
+            if self.draw_random() < part:
+                del self.prefix_cache[digest]
 
-    def has_read(self, job):
+    def finish_read(self, job):
+        """Ends a read: holds the read state and answers, or goes on to write for a request in one stage."""
         self.reading = None
-        self.keep(job)
+        self.cache_prefixes(job)
         if job.stage == "direct":
             job.fetched = True
-            self.write_line.append(job)
+            self.waiting_writes.append(job)
             self.begin_read()
             return self.begin_writes()
         self.states[job.name] = (job.tokens, job.seed, job.lab)
         if self.agent is not None:
-            self.agent.put(job.name, state_of(job.seed, job.tokens * self.spec.state_bytes))
+            self.agent.put(job.name, make_state(job.seed, job.tokens * self.spec.state_bytes))
         self.held_tokens += job.tokens
         self.put("state", name=job.name, lab=job.lab, tokens=job.tokens)
-        self.loop.call_later(STATE_KEPT_US, self.drop_state, job.name, "expired")
-        if self.faults.lost and self.chance() < self.faults.lost:
+        self.loop.call_later(STATE_TIMEOUT_US, self.drop_state, job.name, "expired")
+        if self.faults.lost and self.draw_random() < self.faults.lost:
             self.end(job, "lost")
             self.drop_state(job.name, "left")
             job.exchange.abort()
             return self.begin_read()
-        self.end(job, "read", kept=job.kept)
+        self.end(job, "read", kept=job.cached_tokens)
         job.exchange.json(
             200,
             {
@@ -406,13 +447,13 @@
                 "created": 0,
                 "model": job.call.model,
                 "choices": [
-                    {"index": 0, "finish_reason": "length", "message": {"role": "assistant", "content": job.word(job.at)}}
+                    {"index": 0, "finish_reason": "length", "message": {"role": "assistant", "content": job.word(job.next_word)}}
                 ],
                 "usage": {
                     "prompt_tokens": job.tokens,
                     "completion_tokens": 1,
                     "total_tokens": job.tokens + 1,
-                    "prompt_tokens_details": {"cached_tokens": job.kept},
+                    "prompt_tokens_details": {"cached_tokens": job.cached_tokens},
                 },
                 "kv_transfer_params": {
                     "do_remote_prefill": True,
@@ -431,9 +472,10 @@
         )
         self.begin_read()
 
-    # ---- states
+    # ---- read states
 
     def drop_state(self, name, how):
+        """Frees a read state. Returns its (tokens, seed, lab), or None if it is not held here."""
         state = self.states.pop(name, None)
         if state is None:
             return None
@@ -445,7 +487,8 @@
         self.begin_writes()
         return state
 
-    def let_go(self, exchange, name):
+    def release_state(self, exchange, name):
+        """Answers a gateway's request to release a read state."""
         if name in self.states:
             self.put("release", name=name)
         if self.faults.hang:
@@ -454,7 +497,7 @@
         exchange.json(200 if known else 404, {"released": bool(known)})
 
     def give(self, exchange, name):
-        """A writer fetches a state; it is then only there."""
+        """Answers a writer that fetches a read state, which is no longer held here afterwards."""
         if self.faults.hang:
             return
         state = self.drop_state(name, "taken")
@@ -465,49 +508,57 @@
     # ---- writing
 
     def begin_writes(self):
-        while self.write_line and len(self.running) + len(self.fetches) < self.spec.slots:
-            job = self.write_line[0]
+        """Starts waiting writes while there are free slots and memory."""
+        while self.waiting_writes and len(self.running) + len(self.fetches) < self.spec.slots:
+            job = self.waiting_writes[0]
             if not self.fits(job.tokens):
                 return
-            self.write_line.popleft()
+            self.waiting_writes.popleft()
             if job.stage == "direct":
                 self.run(job)
             else:
                 self.fetch(job)
 
     def fetch(self, job):
+        """Fetches the read state of a job from the server that holds it, by the transfer agent if both have one."""
         self.fetches.add(job)
-        p = job.params
-        if p.get("transfer_port") and self.agent is not None:
+        params = job.params
+        if params.get("transfer_port") and self.agent is not None:
             now = self.loop.clock.now_us()
             self.moves[job] = self.agent.fetch(
-                p.get("remote_request_id"),
-                [(p.get("remote_host"), p["transfer_port"])],
-                now + 300 * MS,
-                now + 1500 * MS,
-                lambda move: self.has_moved(job, move),
-                alternatives=self.offers(job),
+                params.get("remote_request_id"),
+                [(params.get("remote_host"), params["transfer_port"])],
+                now + 300 * US_PER_MS,
+                now + 1500 * US_PER_MS,
+                lambda move: self.on_move_ended(job, move),
+                alternatives=self.move_alternatives(job),
             )
             return
-        Fetch(self, job, (p.get("remote_host"), p.get("remote_port")), p.get("remote_request_id"))
+        StateFetch(self, job, (params.get("remote_host"), params.get("remote_port")), params.get("remote_request_id"))
 
-    def offers(self, job):
-        """What its gateway could do instead of this move, and how long that takes before a state begins to move again."""
+    def move_alternatives(self, job):
+        """What the gateway could do instead of this transfer, each with the us until a read state would begin to move again."""
         read_ms = job.exchange.header(b"x-read-ms")
-        return {"elsewhere": 20 * MS} | ({"read anew": int(read_ms) * MS} if read_ms else {})
+        return {"elsewhere": 20 * US_PER_MS} | ({"read anew": int(read_ms) * US_PER_MS} if read_ms else {})
 
-    def has_moved(self, job, move):
-        """A state is here, verified, or can't be had. What is written comes from its bytes."""
+    def on_move_ended(self, job, move):
+        """Starts to write from the verified bytes of a read state, or rejects the job if the transfer failed."""
         self.moves.pop(job, None)
         if move.why is None:
             state = {"seed": int.from_bytes(move.memory[:4], "big")}
-            self.put("moved", name=job.name, lab=job.lab, ms=(self.loop.clock.now_us() - move.start_us) // MS, breaks=move.breaks)
+            self.put(
+                "moved",
+                name=job.name,
+                lab=job.lab,
+                ms=(self.loop.clock.now_us() - move.start_us) // US_PER_MS,
+                breaks=move.breaks,
+            )
             move.free()
         else:
             state = None
             self.put("not_moved", name=job.name, lab=job.lab, why=move.why, advice=move.advice)
         if state is not None and state["seed"] != job.seed:
-            job.seed = state["seed"]  # a wrong state: its answer shows it
+            job.seed = state["seed"]  # with a wrong read state the answer is wrong as well
         self.fetches.discard(job)
         if job.over:
             return None
@@ -517,7 +568,8 @@
             self.run(job)
         return self.begin_writes()
 
-    def fetched(self, job, state):
+    def on_state_fetched(self, job, state):
+        """Starts to write after the simulated transfer time, or rejects the job if its read state could not be fetched."""
         if job.over:
             self.fetches.discard(job)
             return
@@ -525,17 +577,24 @@
             self.fetches.discard(job)
             self.refuse(job, b"no-state")
             return self.begin_writes()
-        s, p = self.spec, job.params
-        times = 1 if p.get("remote_cell") == s.cell else s.far_times if p.get("remote_zone") == s.zone else s.far_times * 2
-        self.loop.call_later(round(job.tokens / s.near_per_s * times * 1e6), self.moved, job)
+        spec, params = self.spec, job.params
+        factor = (
+            1
+            if params.get("remote_cell") == spec.cell
+            else spec.far_times
+            if params.get("remote_zone") == spec.zone
+            else spec.far_times * 2
+        )
+        self.loop.call_later(round(job.tokens / spec.near_per_s * factor * 1e6), self.finish_simulated_move, job)
 
-    def moved(self, job):
+    def finish_simulated_move(self, job):
         self.fetches.discard(job)
         if not job.over:
             self.run(job)
             self.begin_writes()
 
     def run(self, job):
+        """Adds a job to those that get a token in each step."""
         repeat = False
         if job.key:
             repeat = self.fleet.repeat(self, job)
@@ -545,122 +604,133 @@
         self.running.append(job)
         if not self.stepping:
             self.stepping = True
-            self.step_later()
+            self.schedule_step()
 
-    def step_later(self):
-        s = self.spec
-        ms = (s.step_ms + s.per_stream_ms * len(self.running)) * self.faults.slow / self.level()
-        self.loop.call_later(round(ms * MS), self.step)
+    def schedule_step(self):
+        spec = self.spec
+        duration_ms = (spec.step_ms + spec.per_stream_ms * len(self.running)) * self.faults.slow / self.relative_speed()
+        self.loop.call_later(round(duration_ms * US_PER_MS), self.step)
 
     def step(self):
+        """Writes one token of each running job."""
         if self.listener is None or not self.running:
             self.stepping = False
             return
         if not self.faults.stall and not self.faults.hang:
             for job in list(self.running):
-                self.token(job)
-        self.step_later()
+                self.write_token(job)
+        self.schedule_step()
 
-    def token(self, job):
+    def write_token(self, job):
+        """Sends the next token of a job, or the end of its stream."""
         exchange = job.exchange
         if exchange.over or exchange.full:
             return
         if not exchange.begun:
-            if self.faults.lost and self.chance() < self.faults.lost:
-                self.stop(job, "lost")
+            if self.faults.lost and self.draw_random() < self.faults.lost:
+                self.end_write(job, "lost")
                 return exchange.abort()
             exchange.begin(200, [(b"content-type", b"text/event-stream"), self.load_header()])
             self.put("first", name=job.name, lab=job.lab)
             if not job.done_words:
                 exchange.send(self.chunk(job, {"role": "assistant", "content": ""}))
-        if job.at < job.length:
-            part = self.chunk(job, {"content": job.word(job.at)})
-            exchange.send(part)
-            job.at += 1
-            job.sent += len(part)
-            if self.faults.reset_at and job.sent >= self.faults.reset_at:
-                self.stop(job, "cut")
+        if job.next_word < job.length:
+            data = self.chunk(job, {"content": job.word(job.next_word)})
+            exchange.send(data)
+            job.next_word += 1
+            job.sent_bytes += len(data)
+            if self.faults.reset_at and job.sent_bytes >= self.faults.reset_at:
+                self.end_write(job, "cut")
                 self.loop.soon(exchange.abort)
             return
-        exchange.send(self.chunk(job, {}, job.stop))
+        exchange.send(self.chunk(job, {}, job.finish_reason))
         if job.call.include_usage:
-            made = job.at - job.done_words
+            written_tokens = job.next_word - job.done_words
             exchange.send(
                 encode_event(
                     {
-                        **self.frame(job),
+                        **self.chunk_fields(job),
                         "choices": [],
-                        "usage": {"prompt_tokens": job.tokens, "completion_tokens": made, "total_tokens": job.tokens + made},
+                        "usage": {
+                            "prompt_tokens": job.tokens,
+                            "completion_tokens": written_tokens,
+                            "total_tokens": job.tokens + written_tokens,
+                        },
                     }
                 )
             )
         exchange.send(DONE)
-        self.stop(job, "done")
+        self.end_write(job, "done")
         exchange.end()
 
-    def stop(self, job, how):
+    def end_write(self, job, how):
+        """Removes a job from the running ones."""
         self.running.remove(job)
         self.held_tokens -= job.tokens
-        self.end(job, how, tokens=job.at - job.done_words)
+        self.end(job, how, tokens=job.next_word - job.done_words)
         self.loop.soon(self.begin_writes)
 
-    def frame(self, job):
+    def chunk_fields(self, job):
+        """The fields that all chunks of a stream have in common."""
         return {"id": job.id, "object": "chat.completion.chunk", "created": 0, "model": job.call.model}
 
     def chunk(self, job, delta, finish=None):
-        return encode_event({**self.frame(job), "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]})
+        """One event of a stream."""
+        return encode_event({**self.chunk_fields(job), "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]})
 
-    # ---- what no server should say
+    # ---- malformed answers
 
-    def garbage(self, job):
+    def send_garbage(self, job):
+        """Answers as the fault `garbage` says."""
         kind, stream = self.faults.garbage, job.exchange.conn.stream
         self.end(job, "garbage")
         if kind == "head":
-            self.pour(stream, b"HTTP/1.1 200 OK\r\n", b"x-more: " + b"a" * 1000 + b"\r\n")
+            self.send_repeatedly(stream, b"HTTP/1.1 200 OK\r\n", b"x-more: " + b"a" * 1000 + b"\r\n")
         elif kind == "line":
-            self.pour(stream, b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\ndata: ", b"a" * 65536, 1600)
+            self.send_repeatedly(stream, b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\ndata: ", b"a" * 65536, 1600)
         elif kind == "json":
             job.exchange.respond(200, b"[[[{", content_type=b"application/json" if job.stage == "read" else b"text/event-stream")
         else:
             stream.write(b"\x00\xff\x13 nothing that is HTTP \r\n\r\n")
             stream.close()
 
-    def pour(self, stream, first, part, times=100000):
+    def send_repeatedly(self, stream, first, part, count=100000):
+        """Sends `first`, then `part` once a millisecond."""
         stream.write(first)
 
-        def more(left):
-            if not stream.closed and left:
+        def send_next(remaining):
+            if not stream.closed and remaining:
                 if not stream.full:
                     stream.write(part)
-                self.loop.call_later(1000, more, left - 1)
+                self.loop.call_later(1000, send_next, remaining - 1)
 
-        more(times)
+        send_next(count)
 
 
-class Fetch:
-    """Asks a state's holder for it."""
+class StateFetch:
+    """Asks the server that holds a read state for it over HTTP."""
 
     def __init__(self, box, job, address, name):
-        self.box, self.job, self.status, self.parts = box, job, None, []
+        self.box, self.job, self.status, self.body_parts = box, job, None, []
         self.exchange = box.pool.request(
             (str(address[0]), int(address[1] or 0)), b"GET", f"/v1/states/{name}".encode(), [], b"", self
         )
-        self.timer = box.loop.call_later(1_000_000, self.late)
+        self.timer = box.loop.call_later(FETCH_TIMEOUT_US, self.on_timeout)
 
-    def late(self):
+    def on_timeout(self):
         self.exchange.cancel()
-        self.box.fetched(self.job, None)
+        self.box.on_state_fetched(self.job, None)
 
     def on_head(self, status, fields):
         self.status = status
 
     def on_body(self, data):
-        self.parts.append(data)
+        self.body_parts.append(data)
 
     def on_end(self):
         self.timer.cancel()
-        self.box.fetched(self.job, orjson.loads(b"".join(self.parts)) if self.status == 200 else None)
+        self.box.on_state_fetched(self.job, orjson.loads(b"".join(self.body_parts)) if self.status == 200 else None)
 
     def on_fail(self, stage, why):
         self.timer.cancel()
-        self.box.fetched(self.job, None)
+        self.box.on_state_fetched(self.job, None)
