--- a/lapiswing/fleet/__init__.py
+++ b/lapiswing/fleet/__init__.py
@@ -1,16 +1,17 @@
-"""The fleet link: who the other copies of the program are, and rows that spread among them. It decides
-nothing on reqs.
+"""The fleet link: membership of the gateways of one fleet, and rows of data replicated among them. It takes no
+part in routing requests.
 
-    members   who is alive, suspected, gone or has left; SWIM with Lifeguard's refinements; pure
-    rows      rows with one writer each, merged by the larger version, compared by digests; pure
-    messages  what is said, as msgpack structs
-    seal      MAC, addressee, protection against replay; pure
-    link      one member: the four above put together, still without I/O
-    transport messages over the loop's streams
+    members   which gateways are alive, suspected, gone or have left: SWIM with Lifeguard's refinements; no I/O
+    rows      rows with one writer each, merged by the larger version, compared by digests; no I/O
+    messages  the messages, as msgpack structs
+    seal      message authentication, addressing and protection against replay; no I/O
+    link      one gateway of the fleet: the four above combined, still without I/O
+    transport messages over TCP streams of the event loop
+    host      the link in a running gateway: sockets, timer and store
 
-docs/design/fleet.md has the rules and why they are so."""
+docs/design/fleet.md has the rules and the reasons for them."""
 
 from lapiswing.fleet.link import Link
-from lapiswing.fleet.members import Figures
+from lapiswing.fleet.members import MemberConfig
 
-__all__ = ["Figures", "Link"]
+__all__ = ["Link", "MemberConfig"]
--- a/lapiswing/fleet/link.py
+++ b/lapiswing/fleet/link.py
@@ -1,39 +1,40 @@
-"""One member of the fleet, without I/O: members, rows and seals put together. A host gives it time and what
-came in, and carries out `send(address, data)`; see `transport` for sockets and `lab/fleetsim.py` for a
-simulated network.
+"""One gateway of the fleet, without I/O: members, rows and seals combined. The host gives it the time and the
+messages received, and carries out `send(address, data)`; see `transport` for sockets and `lab/fleetsim.py` for
+a simulated network.
 
-    link = Link("gw-1", "10.0.0.4:9300", ["10.0.0.5:9300"], [key], chance, secret, send, now_us)
-    link.restore(raws)              rows that the own disk holds, before the first tick
+    link = Link("gw-1", "10.0.0.4:9300", ["10.0.0.5:9300"], [key], random, secret, send, now_us)
+    link.restore(raws)              rows from this gateway's disk, before the first tick
     link.tick(now_us)               every TICK_US
-    link.heard(now_us, data)        one message
-    link.write("hold/a", b"...")    -> (Row, raw); once it is on the disk: link.tell(raw)
+    link.heard(now_us, data)        one message received
+    link.write("hold/a", b"...")    -> (Row, raw); once it is on the disk: link.publish(raw)
 
-`on_row(row, raw)` hears of each row of others that is new here, `on_member(one, was)` of each change of a
-member's state, `on_log(event, **figures)` of changes of mode. What any of them raises is the host's
-affair."""
+`on_row(row, raw)` is called for each row of another writer that is new here, `on_member(member, old_state)` on
+each change of a member's state, `on_log(event, **fields)` for events worth logging, `on_identity(old, new)` when
+this gateway takes a new identity. Exceptions that they raise pass through to the caller."""
 
 import msgspec
 import xxhash
 
-from lapiswing.fleet.members import Figures, Members
+from lapiswing.fleet.members import MemberConfig, Members
 from lapiswing.fleet.messages import Ack, Ask, Compare, Everyone, Hello, Nack, Ping, Stale, Tell, Versions, Welcome, Whose, Yours
 from lapiswing.fleet.rows import Rows
 from lapiswing.fleet.seal import Refused, Seal
 
 MS = 1000
 TICK_US = 50 * MS
-HELLO_US = 200 * MS  # before a hello that was not answered is said again
-WAITING, TARGETS = 8, 300  # messages that wait for one token; members whose token is waited for
-FAN = 3  # members that are told changes at each tick while there are any
-ROW_TIMES = 1.0  # a row is told by each so often, times log2 of the fleet; comparisons find what that misses
-TELL_BYTES, TELLS = 16_000, 4  # of rows in one message; messages at once in answer to a comparison
-COMPARE_US = 1000 * MS
-HAVE = 1000  # versions in one message
-ANSWERS_S = 200  # hellos and stale tokens that are answered in a second, at most
-MEET_US = 1000 * MS  # from the first member that is known until all that it knows are
-UNSURE_US = 20_000 * MS  # until the word of copies that are not sure of themselves is enough
-LEARN_US = 500 * MS  # between two times of asking what was written under the own identity
-RENEW_US = 60_000 * MS  # between two changes of identity: a peer that makes versions up can't drive it
+HELLO_RETRY_US = 200 * MS  # between two hellos to an address that has not answered
+# Messages queued for one address until its token arrives; addresses with such a queue.
+MAX_PENDING_MESSAGES, MAX_PENDING_ADDRESSES = 8, 300
+FANOUT = 3  # members that are sent updates at each tick while there are any
+ROW_SENDS_FACTOR = 1.0  # each member sends a row this often, times log2 of the fleet; comparisons cover the rest
+MAX_ROW_BYTES, MAX_ROW_MESSAGES = 16_000, 4  # of rows in one message; messages in reply to one comparison
+COMPARE_US = 1000 * MS  # between two comparisons with a random member
+MAX_VERSIONS = 1000  # in one message
+MAX_REPLIES_PER_S = 200  # to hellos and to messages with a stale token
+DISCOVERY_US = 1000 * MS  # from the first known member until all members known to it are known here
+UNSURE_US = 20_000 * MS  # after this, replies of members that are not sure of their own data are accepted
+IDENTITY_RETRY_US = 500 * MS  # between two rounds of asking which version of the own rows others know
+NEW_IDENTITY_US = 60_000 * MS  # minimum between two changes of identity: bounds what false versions can cause
 
 
 def name_of(identity):
@@ -41,32 +42,35 @@
 
 
 class Link:
+    """One member of the fleet: its identity, its view of the other members, and its rows."""
+
     def __init__(
         self,
         name,
         address,
         seeds,
         keys,
-        chance,
+        random,
         secret,
         send,
         now_us,
-        life=None,
+        identity_suffix=None,
         zone="",
-        figures=Figures(),
+        config=MemberConfig(),
         on_row=None,
         on_member=None,
         on_log=None,
         on_identity=None,
     ):
-        """`life`: of the identity that the disk holds; None draws one. `chance()`: floats in [0, 1)."""
+        """`identity_suffix`: of the identity stored on the disk; None draws a new one. `random()`: floats in
+        [0, 1)."""
         self.name, self.address, self.keys = name, address, keys
         self.seeds = [s for s in seeds if s != address]
-        self.chance, self.secret, self.send, self.zone, self.f = chance, secret, send, zone, figures
-        self.on_row, self.on_member = on_row or (lambda row, raw: None), on_member or (lambda one, was: None)
-        self.on_log = on_log or (lambda event, **figures: None)
+        self.random, self.secret, self.send, self.zone, self.config = random, secret, send, zone, config
+        self.on_row, self.on_member = on_row or (lambda row, raw: None), on_member or (lambda member, old_state: None)
+        self.on_log = on_log or (lambda event, **fields: None)
         self.on_identity = on_identity or (lambda old, new: None)
-        self.boot = self.draw(63)
+        self.boot = self.random_bits(63)
         self.counts = {
             "in": 0,
             "out": 0,
@@ -77,211 +81,224 @@
             "dropped": 0,
             "identities": 0,
         }
-        self.now, self.compare_us, self.call_us, self.learn_us = now_us, now_us, now_us, now_us
-        self.renewed_us, self.answers, self.answers_us = now_us - RENEW_US, float(ANSWERS_S), now_us
-        self.begin(life or self.new_life(), now_us)
-
-    def draw(self, bits):
-        low = max(0, bits - 52)  # a float holds no more
-        return int(self.chance() * (1 << bits - low)) << low | int(self.chance() * (1 << low))
-
-    def new_life(self):
-        return f"{self.draw(48):012x}"
-
-    def begin(self, life, now_us):
-        self.life, self.id = life, f"{self.name}#{life}"
+        self.now_us, self.next_compare_us, self.next_contact_us, self.next_identity_query_us = now_us, now_us, now_us, now_us
+        self.identity_changed_us, self.reply_allowance, self.reply_allowance_us = (
+            now_us - NEW_IDENTITY_US,
+            float(MAX_REPLIES_PER_S),
+            now_us,
+        )
+        self.use_identity(identity_suffix or self.new_identity_suffix(), now_us)
+
+    def random_bits(self, bits):
+        low_bits = max(0, bits - 52)  # one float provides at most 52 bits
+        return int(self.random() * (1 << bits - low_bits)) << low_bits | int(self.random() * (1 << low_bits))
+
+    def new_identity_suffix(self):
+        return f"{self.random_bits(48):012x}"
+
+    def use_identity(self, suffix, now_us):
+        """Starts with empty tables under the identity NAME#SUFFIX."""
+        self.identity_suffix, self.id = suffix, f"{self.name}#{suffix}"
         self.rows = Rows(self.id)
         self.seal = Seal(self.keys, self.id, self.address, self.boot, self.secret)
-        self.members = Members(self.id, self.address, self.zone, now_us, self.chance, self.say, self.member_changed, self.f)
-        self.waiting = {}  # address -> [nonce, said, queue]
-        self.learnt, self.seen_at = {}, {}  # id -> (version, whether that copy is sure); id -> address
-        self.fresh = {}  # (writer, key) -> [raw, times told]
-        self.sure, self.alone_told, self.met_us = not self.seeds, False, None
+        self.members = Members(
+            self.id, self.address, self.zone, now_us, self.random, self.send_to, self.member_changed, self.config
+        )
+        self.pending = {}  # address -> [nonce, when the hello was sent, queued messages]
+        # id -> (latest own version known to that member, whether it is sure); id -> address it last sent from
+        self.version_replies, self.last_addresses = {}, {}
+        self.row_updates = {}  # (writer, key) -> [raw, times sent]
+        self.identity_confirmed, self.no_peer_logged, self.first_member_us = not self.seeds, False, None
 
     # ---- identity
 
     def restore(self, raws):
-        """-> how many could not be read."""
-        bad = 0
+        """-> how many rows could not be decoded."""
+        unreadable = 0
         for raw in raws:
             try:
                 self.rows.restore(raw)
             except (msgspec.MsgspecError, ValueError):
-                bad += 1
-        return bad
+                unreadable += 1
+        return unreadable
 
     def may_write(self):
-        """Whether others have been heard on what was written under this identity. Before that a rolled back
-        disk can't be told from a good one."""
-        return self.sure and not self.rows.newer
-
-    def learn(self):
-        """Asks what was written under the own identity until a majority of all copies has answered, by name:
-        those that are gone count, for they may only be cut off, and the part that is left may know less."""
+        """Whether enough members have reported what was written under this identity. Before that, a disk that was
+        rolled back can't be distinguished from an intact one."""
+        return self.identity_confirmed and not self.rows.newer_own_version
+
+    def confirm_identity(self):
+        """Asks what was written under the own identity until a majority of all members, counted by name, has
+        replied. Gone members count in the total: they may only be partitioned off, and the reachable part may
+        know less than they do."""
         alive = self.members.alive()
         names = {name_of(m.id) for m in self.members.all.values() if m.state != "left"} - {self.name}
-        if alive and self.met_us is None:
-            self.met_us = self.now
-        # The word of one that has just started itself counts only where nothing better comes: all may be
-        # starting.
-        late = alive and self.now - self.met_us >= UNSURE_US
-        answered = {name_of(m) for m in alive if m in self.learnt}
-        trusted = {name_of(m) for m in alive if self.learnt.get(m, (0, False))[1]}
-        enough = len(trusted if not late and answered < names else answered) * 2 > len(names)
-        if alive and self.now - self.met_us >= MEET_US and enough:
-            self.sure = True
+        if alive and self.first_member_us is None:
+            self.first_member_us = self.now_us
+        # The replies of members that have only just started count only when no better ones come: all members may
+        # be starting.
+        overdue = alive and self.now_us - self.first_member_us >= UNSURE_US
+        answered = {name_of(m) for m in alive if m in self.version_replies}
+        trusted = {name_of(m) for m in alive if self.version_replies.get(m, (0, False))[1]}
+        enough = len(trusted if not overdue and answered < names else answered) * 2 > len(names)
+        if alive and self.now_us - self.first_member_us >= DISCOVERY_US and enough:
+            self.identity_confirmed = True
             self.on_log("identity kept", id=self.id, heard=len(answered), of=len(names))
             return
-        if self.now < self.learn_us:
+        if self.now_us < self.next_identity_query_us:
             return
-        self.learn_us = self.now + LEARN_US
+        self.next_identity_query_us = self.now_us + IDENTITY_RETRY_US
         for member in alive:
-            if not self.learnt.get(member, (0, False))[1]:
-                self.say(member, Whose())
-        if not alive and not self.alone_told:
-            self.alone_told = True
+            if not self.version_replies.get(member, (0, False))[1]:
+                self.send_to(member, Whose())
+        if not alive and not self.no_peer_logged:
+            self.no_peer_logged = True
             self.on_log("no peer heard", seeds=len(self.seeds))
 
-    def look_at_identity(self):
-        """Others have seen a newer row of this identity than this copy wrote: its disk was lost or rolled
-        back, or somebody else writes under its name. Either way it never writes under it again."""
-        if self.rows.newer <= self.rows.version:
-            self.rows.newer = 0
+    def check_identity(self):
+        """Takes a new identity if others have seen a newer row of this identity than this gateway wrote: its disk
+        was lost or rolled back, or another process writes under its name. Either way it never writes under
+        the old identity again."""
+        if self.rows.newer_own_version <= self.rows.own_version:
+            self.rows.newer_own_version = 0
             return
-        if self.now - self.renewed_us < RENEW_US:
+        if self.now_us - self.identity_changed_us < NEW_IDENTITY_US:
             return
         old, rows = self.id, self.rows
-        self.renewed_us = self.now
+        self.identity_changed_us = self.now_us
         self.counts["identities"] += 1
         members = [m.raw for m in self.members.all.values()]
-        newer = rows.newer
-        self.begin(self.new_life(), self.now)
-        for raw in rows.raws.values():  # the old identity's rows are those of another writer now
-            self.rows.take(raw)
+        newer = rows.newer_own_version
+        self.use_identity(self.new_identity_suffix(), self.now_us)
+        for raw in rows.raws.values():  # the rows of the old identity now belong to another writer
+            self.rows.apply(raw)
         for raw in members:
-            self.members.take(raw, self.now, old)
-        self.sure = True  # nobody can have seen a row of an identity just drawn
-        self.on_log("new identity", old=old, new=self.id, wrote=rows.version, seen=newer)
+            self.members.apply(raw, self.now_us, old)
+        self.identity_confirmed = True  # no member can have seen a row of an identity that was just drawn
+        self.on_log("new identity", old=old, new=self.id, wrote=rows.own_version, seen=newer)
         self.on_identity(old, self.id)
 
     # ---- rows
 
     def write(self, key, value):
-        """A row of the own identity. It is told once `tell` is called, when it is on the disk. Raises
-        ValueError: too large, no room, or it may not write yet."""
+        """A row of the own identity. It is sent to others only after `publish`, when it is on the disk. Raises
+        ValueError: too large, the table is full, or writing is not allowed yet."""
         if not self.may_write():
-            raise ValueError("it is not known yet what was written under this identity")
+            raise ValueError("writing is not allowed until the latest version of this identity's rows is confirmed")
         return self.rows.write(key, value)
 
-    def tell(self, raw):
-        """An own row is on the disk: others may hear of it."""
-        row = self.rows.settle(raw)
+    def publish(self, raw):
+        """An own row is on the disk and may be sent to others."""
+        row = self.rows.commit(raw)
         if row is not None:
-            self.fresh[row.writer, row.key] = [raw, 0]
-            self.push()
+            self.row_updates[row.writer, row.key] = [raw, 0]
+            self.send_updates()
 
-    def some_rows(self):
+    def take_row_updates(self):
+        """Encoded rows for one message, those sent the fewest times first."""
         out, size = [], 0
-        most = max(1, round(ROW_TIMES * len(self.members.all).bit_length()))
-        for at in sorted(self.fresh, key=lambda a: self.fresh[a][1]):
-            raw, told = self.fresh[at]
-            if size + len(raw) > TELL_BYTES and out:
+        max_times = max(1, round(ROW_SENDS_FACTOR * len(self.members.all).bit_length()))
+        for row_id in sorted(self.row_updates, key=lambda r: self.row_updates[r][1]):
+            raw, times_sent = self.row_updates[row_id]
+            if size + len(raw) > MAX_ROW_BYTES and out:
                 break
             out.append(msgspec.Raw(raw))
             size += len(raw)
-            self.fresh[at][1] = told + 1
-            if told + 1 >= most:
-                del self.fresh[at]
+            self.row_updates[row_id][1] = times_sent + 1
+            if times_sent + 1 >= max_times:
+                del self.row_updates[row_id]
         return out
 
-    def push(self):
-        for member in self.members.some(FAN):
-            if not (self.fresh or self.members.wants_telling()):
+    def send_updates(self):
+        for member in self.members.sample(FANOUT):
+            if not (self.row_updates or self.members.has_updates()):
                 return
-            self.say(member, Tell(self.members.some_news(member), self.some_rows()))
+            self.send_to(member, Tell(self.members.take_updates(member), self.take_row_updates()))
 
     # ---- time
 
     def tick(self, now_us):
-        self.now = now_us
+        self.now_us = now_us
         self.members.tick(now_us)
-        self.push()
-        if self.rows.newer:
-            self.look_at_identity()
-        if not self.sure:
-            self.learn()
-        if now_us >= self.compare_us:
-            self.compare_us = now_us + int(COMPARE_US * (0.75 + self.chance() / 2))
-            for member in self.members.some(1):
-                self.say(member, Compare(self.digest_of_members(), self.rows.digests()))
-        if now_us >= self.call_us:
-            often = self.f.call if self.members.all else self.f.period
-            self.call_us = now_us + int(often * (0.75 + self.chance() / 2))
-            self.call()
-        for target, (nonce, said, _) in list(self.waiting.items()):
-            if now_us - said >= 8 * HELLO_US:
-                self.counts["dropped"] += len(self.waiting.pop(target)[2])
-
-    def call(self):
-        """Calls one that is not heard, so that a fleet that was cut in two finds itself again: a seed that no
-        living member has the address of, or one that is gone."""
-        living = {self.members.address_of(m) for m in self.members.alive()}
-        lost = [s for s in self.seeds if s not in living]
-        lost += [m.address for m in self.members.all.values() if m.state == "gone"]
-        if lost:
-            self.hello(lost[int(self.chance() * len(lost))])
-
-    def digest_of_members(self):
+        self.send_updates()
+        if self.rows.newer_own_version:
+            self.check_identity()
+        if not self.identity_confirmed:
+            self.confirm_identity()
+        if now_us >= self.next_compare_us:
+            self.next_compare_us = now_us + int(COMPARE_US * (0.75 + self.random() / 2))
+            for member in self.members.sample(1):
+                self.send_to(member, Compare(self.members_digest(), self.rows.digests()))
+        if now_us >= self.next_contact_us:
+            interval_us = self.config.contact_interval_us if self.members.all else self.config.probe_period_us
+            self.next_contact_us = now_us + int(interval_us * (0.75 + self.random() / 2))
+            self.contact_lost_member()
+        for address, (_nonce, sent_us, _) in list(self.pending.items()):
+            if now_us - sent_us >= 8 * HELLO_RETRY_US:
+                self.counts["dropped"] += len(self.pending.pop(address)[2])
+
+    def contact_lost_member(self):
+        """Sends a hello to an address that no living member has, a seed's or a gone member's, so that a partitioned
+        fleet joins again."""
+        live_addresses = {self.members.address_of(m) for m in self.members.alive()}
+        lost_addresses = [s for s in self.seeds if s not in live_addresses]
+        lost_addresses += [m.address for m in self.members.all.values() if m.state == "gone"]
+        if lost_addresses:
+            self.request_token(lost_addresses[int(self.random() * len(lost_addresses))])
+
+    def members_digest(self):
         total = xxhash.xxh64_intdigest(f"{self.id}/{self.members.own.incarnation}/{self.members.own.state}")
         for m in self.members.all.values():
             total ^= xxhash.xxh64_intdigest(f"{m.id}/{m.incarnation}/{m.state}")
         return total
 
-    # ---- saying
+    # ---- sending
 
-    def say(self, member, message):
-        """To a member by its identity; what has no token yet waits for one."""
-        address = self.members.address_of(member) or self.seen_at.get(member)
+    def send_to(self, member, message):
+        """Sends to a member by its identity; without a token for it the message waits for one."""
+        address = self.members.address_of(member) or self.last_addresses.get(member)
         if address is None:
             return
         if member in self.seal.tokens:
-            return self.out(address, self.seal.seal(member, message))
-        self.hello(address, member, message)
+            return self.transmit(address, self.seal.seal(member, message))
+        self.request_token(address, member, message)
 
-    def out(self, address, data):
+    def transmit(self, address, data):
         self.counts["out"] += 1
         self.counts["bytes out"] += len(data)
         self.send(address, data)
 
-    def hello(self, address, member="", message=None):
-        entry = self.waiting.get(address)
+    def request_token(self, address, member="", message=None):
+        entry = self.pending.get(address)
         if entry is None:
-            if len(self.waiting) >= TARGETS:
+            if len(self.pending) >= MAX_PENDING_ADDRESSES:
                 self.counts["dropped"] += 1
                 return
-            entry = self.waiting[address] = [self.draw(60), -1 << 60, []]
+            entry = self.pending[address] = [self.random_bits(60), -1 << 60, []]
         if message is not None:
             entry[2].append((member, message))
-            if len(entry[2]) > WAITING:
+            if len(entry[2]) > MAX_PENDING_MESSAGES:
                 entry[2].pop(0)
                 self.counts["dropped"] += 1
-        if self.now - entry[1] >= HELLO_US:
-            entry[1] = self.now
-            self.out(address, self.seal.seal("", Hello(entry[0])))
-
-    def may_answer(self):
-        self.answers = min(ANSWERS_S, self.answers + (self.now - self.answers_us) * ANSWERS_S / 1e6)
-        self.answers_us = self.now
-        if self.answers < 1:
+        if self.now_us - entry[1] >= HELLO_RETRY_US:
+            entry[1] = self.now_us
+            self.transmit(address, self.seal.seal("", Hello(entry[0])))
+
+    def may_reply(self):
+        self.reply_allowance = min(
+            MAX_REPLIES_PER_S, self.reply_allowance + (self.now_us - self.reply_allowance_us) * MAX_REPLIES_PER_S / 1e6
+        )
+        self.reply_allowance_us = self.now_us
+        if self.reply_allowance < 1:
             return False
-        self.answers -= 1
+        self.reply_allowance -= 1
         return True
 
-    # ---- heard
+    # ---- receiving
 
     def heard(self, now_us, data):
-        """One message as it came. What is not taken is counted, and changes nothing."""
-        self.now = now_us
+        """One message as received. A rejected message is counted and has no other effect."""
+        self.now_us = now_us
         self.counts["in"] += 1
         self.counts["bytes in"] += len(data)
         try:
@@ -289,125 +306,125 @@
         except Refused as refused:
             self.counts["refused"] += 1
             envelope = refused.envelope
-            if refused.why == "token" and self.may_answer():
-                self.out(envelope.address, self.seal.seal(envelope.sender, Stale(envelope.n)))
+            if refused.why == "token" and self.may_reply():
+                self.transmit(envelope.address, self.seal.seal(envelope.sender, Stale(envelope.n)))
             return
         sender = envelope.sender
-        if len(self.seen_at) > 2 * self.f.most:
-            self.seen_at.clear()
-        self.seen_at[sender] = envelope.address
+        if len(self.last_addresses) > 2 * self.config.max_members:
+            self.last_addresses.clear()
+        self.last_addresses[sender] = envelope.address
         kind = envelope.kind
         if kind == "hello":
-            if self.may_answer():
-                self.out(
+            if self.may_reply():
+                self.transmit(
                     envelope.address, self.seal.seal(sender, Welcome(message.nonce, self.seal.token_for(sender, envelope.boot)))
                 )
         elif kind == "welcome":
-            self.welcomed(sender, envelope, message)
+            self.on_welcome(sender, envelope, message)
         elif kind == "stale":
             if 0 < message.n <= self.seal.numbers.get(sender, 0):
                 self.seal.tokens.pop(sender, None)
         else:
-            self.take(sender, message)
+            self.dispatch(sender, message)
 
-    def welcomed(self, sender, envelope, message):
-        target = next((t for t, (nonce, _, _) in self.waiting.items() if nonce == message.nonce), None)
-        if target is None:
-            return  # not asked for, or an old one
-        queue = self.waiting.pop(target)[2]
+    def on_welcome(self, sender, envelope, message):
+        address = next((a for a, (nonce, _, _) in self.pending.items() if nonce == message.nonce), None)
+        if address is None:
+            return  # answers no pending hello
+        queue = self.pending.pop(address)[2]
         self.seal.tokens[sender] = message.token
-        if len(self.seal.tokens) > 2 * self.f.most:
+        if len(self.seal.tokens) > 2 * self.config.max_members:
             self.seal.tokens = {sender: message.token}
-        for member, waiting in queue:
+        for member, queued in queue:
             if member in ("", sender):
-                self.out(envelope.address, self.seal.seal(sender, waiting))
+                self.transmit(envelope.address, self.seal.seal(sender, queued))
         if self.members.state_of(sender) not in ("alive", "suspected"):
-            for part in self.members.everyone(ask=True):
-                self.say(sender, part)
-        if not self.sure:
-            self.say(sender, Whose())
+            for part in self.members.all_members(ask=True):
+                self.send_to(sender, part)
+        if not self.identity_confirmed:
+            self.send_to(sender, Whose())
 
-    def take(self, sender, message):
+    def dispatch(self, sender, message):
         kind = type(message)
-        self.take_news(sender, getattr(message, "news", ()))
-        self.take_rows(getattr(message, "rows", ()))
+        self.apply_updates(sender, getattr(message, "news", ()))
+        self.apply_rows(getattr(message, "rows", ()))
         if kind is Ping:
-            self.members.heard_ping(sender, message)
+            self.members.on_ping(sender, message)
         elif kind is Ack:
-            self.members.heard_ack(sender, message)
+            self.members.on_ack(sender, message)
         elif kind is Ask:
-            self.members.heard_ask(sender, message, self.now)
+            self.members.on_ask(sender, message, self.now_us)
         elif kind is Nack:
-            self.members.heard_nack(message)
+            self.members.on_nack(message)
         elif kind is Everyone:
             if message.ask:
-                for part in self.members.everyone(ask=False):
-                    self.say(sender, part)
+                for part in self.members.all_members(ask=False):
+                    self.send_to(sender, part)
         elif kind is Compare:
-            self.compared(sender, message)
+            self.on_compare(sender, message)
         elif kind is Versions:
-            self.versions_of(sender, message)
+            self.on_versions(sender, message)
         elif kind is Whose:
-            self.say(sender, Yours(self.rows.latest_of(sender), self.sure))
+            self.send_to(sender, Yours(self.rows.latest_version_of(sender), self.identity_confirmed))
         elif kind is Yours:
             if sender in self.members.all:
-                self.learnt[sender] = (message.version, message.sure)
-            self.rows.newer = max(self.rows.newer, message.version)
+                self.version_replies[sender] = (message.version, message.sure)
+            self.rows.newer_own_version = max(self.rows.newer_own_version, message.version)
 
-    def take_news(self, sender, news):
+    def apply_updates(self, sender, news):
         for raw in news:
             try:
-                self.members.take(raw, self.now, sender)
+                self.members.apply(raw, self.now_us, sender)
             except ValueError:
                 self.counts["news refused"] += 1
 
-    def take_rows(self, raws):
+    def apply_rows(self, raws):
         for raw in raws:
             try:
-                row = self.rows.take(raw)
+                row = self.rows.apply(raw)
             except ValueError:
                 self.counts["news refused"] += 1
                 continue
             if row is not None:
                 raw = bytes(raw)
-                self.fresh[row.writer, row.key] = [raw, 0]
+                self.row_updates[row.writer, row.key] = [raw, 0]
                 self.on_row(row, raw)
 
-    def compared(self, sender, message):
-        if message.members != self.digest_of_members():
-            for part in self.members.everyone(ask=True):
-                self.say(sender, part)
+    def on_compare(self, sender, message):
+        if message.members != self.members_digest():
+            for part in self.members.all_members(ask=True):
+                self.send_to(sender, part)
         differing = self.rows.differing(message.buckets)
         if not differing:
             return
         buckets, have = [], []
         for bucket in differing:
             more = self.rows.versions([bucket])
-            if buckets and len(have) + len(more) > HAVE:
+            if buckets and len(have) + len(more) > MAX_VERSIONS:
                 break
             buckets.append(bucket)
-            have += more[:HAVE]
-        self.say(sender, Versions(buckets, have))
+            have += more[:MAX_VERSIONS]
+        self.send_to(sender, Versions(buckets, have))
 
-    def versions_of(self, sender, message):
+    def on_versions(self, sender, message):
         send, want = self.rows.newer_than(message.buckets, message.have)
-        for _ in range(TELLS):
+        for _ in range(MAX_ROW_MESSAGES):
             part, size = [], 0
-            while send and (not part or size + len(send[0]) <= TELL_BYTES):
+            while send and (not part or size + len(send[0]) <= MAX_ROW_BYTES):
                 size += len(send[0])
                 part.append(msgspec.Raw(send.pop(0)))
             if part:
-                self.say(sender, Tell([], part))
+                self.send_to(sender, Tell([], part))
         if want and message.ask:
-            self.say(sender, Versions(message.buckets, self.rows.versions(message.buckets)[:HAVE], False))
+            self.send_to(sender, Versions(message.buckets, self.rows.versions(message.buckets)[:MAX_VERSIONS], False))
 
-    def member_changed(self, one, was):
-        if not one.living:
-            self.seal.tokens.pop(one.id, None)  # its next process gives another one
-        self.on_member(one, was)
+    def member_changed(self, member, old_state):
+        if not member.living:
+            self.seal.tokens.pop(member.id, None)  # its next process issues a new one
+        self.on_member(member, old_state)
 
     def leave(self):
-        """Tells some that it goes; to be called before the end."""
+        """Announces to some members that this one leaves; to be called before closing."""
         self.members.leave()
-        for member in self.members.some(2 * FAN):
-            self.say(member, Tell(self.members.some_news(member), []))
+        for member in self.members.sample(2 * FANOUT):
+            self.send_to(member, Tell(self.members.take_updates(member), []))
--- a/lapiswing/fleet/messages.py
+++ b/lapiswing/fleet/messages.py
@@ -1,20 +1,22 @@
-"""What copies say to each other: msgpack maps, so that a copy of another version finds the fields that it
-knows. Of members and rows the very bytes are kept and passed on, with fields that this copy does not know.
+"""The messages that gateways exchange: msgpack maps, so that a gateway of another version finds the fields that
+it knows. Members and rows are stored and forwarded as the original bytes, including fields that this version
+does not know.
 
-SPOKEN is the range of versions that this program speaks; a message is taken where the ranges of both sides
-meet."""
+SUPPORTED_VERSIONS is the range of protocol versions that this program speaks; a message is accepted where the
+ranges of both sides overlap."""
 
 import msgspec
 
-SPOKEN = (1, 1)
-MOST = 60_000  # bytes of one message, sealed
-MOST_NAME, MOST_KEY, MOST_VALUE = 80, 120, 8192  # bytes of a member's id or address, a row's key, its value
+SUPPORTED_VERSIONS = (1, 1)
+MAX_MESSAGE_BYTES = 60_000  # sealed
+# Of a member's id or address in characters; of a row's key and of its value in bytes.
+MAX_NAME_LENGTH, MAX_KEY_BYTES, MAX_VALUE_BYTES = 80, 120, 8192
 
 
 class Envelope(msgspec.Struct, omit_defaults=True):
-    """`sender`, `boot`: the identity that speaks and its present process. `to`: the identity addressed, empty
-    in a hello. `token`: what the addressee's process gave this boot. `n`: grows with each message of a boot
-    to one addressee."""
+    """The outer message. `sender`, `boot`: the sending identity and the boot number of its process. `to`: the
+    identity addressed, empty in a hello. `token`: issued by the addressee's process for this boot. `n`: grows
+    with each message of a boot to one addressee. `spoken`: the protocol versions that the sender supports."""
 
     kind: str
     sender: str
@@ -24,28 +26,30 @@
     body: msgspec.Raw
     to: str = ""
     token: bytes = b""
-    spoken: tuple[int, int] = SPOKEN
+    spoken: tuple[int, int] = SUPPORTED_VERSIONS
 
 
 class Hello(msgspec.Struct):
-    """Asks for a token; `nonce` comes back in the welcome."""
+    """Requests a token; `nonce` is returned in the welcome."""
 
     nonce: int
 
 
 class Welcome(msgspec.Struct):
+    """Answers a hello with a token."""
+
     nonce: int
     token: bytes
 
 
 class Stale(msgspec.Struct):
-    """A message was not taken, as its token is not this process's: `n` says which."""
+    """Message number `n` was rejected because its token was not issued by this process."""
 
     n: int
 
 
 class Member(msgspec.Struct, omit_defaults=True):
-    """What is told of a member. `by`: who suspects it."""
+    """An update on a member. `by`: the identity that suspects it."""
 
     id: str
     address: str
@@ -56,7 +60,7 @@
 
 
 class Row(msgspec.Struct):
-    """`writer` is the one identity that may write it. A value of None: it was taken out."""
+    """A replicated row. `writer` is the only identity that may write it. A value of None: the row was deleted."""
 
     writer: str
     key: str
@@ -65,19 +69,23 @@
 
 
 class Ping(msgspec.Struct, omit_defaults=True):
+    """A probe."""
+
     seq: int
     news: list[msgspec.Raw] = []
     rows: list[msgspec.Raw] = []
 
 
 class Ack(msgspec.Struct, omit_defaults=True):
+    """Answers a probe."""
+
     seq: int
     news: list[msgspec.Raw] = []
     rows: list[msgspec.Raw] = []
 
 
 class Ask(msgspec.Struct, omit_defaults=True):
-    """Probe `target` for me."""
+    """Requests an indirect probe of `target`."""
 
     seq: int
     target: str
@@ -86,13 +94,13 @@
 
 
 class Nack(msgspec.Struct):
-    """The probe that was asked for has not been answered; I was there to say so."""
+    """The requested indirect probe has not been answered; shows that the indirect prober itself is reachable."""
 
     seq: int
 
 
 class Tell(msgspec.Struct, omit_defaults=True):
-    """Changes, as soon as they are known."""
+    """Updates of members and rows, sent as soon as they are known."""
 
     news: list[msgspec.Raw] = []
     rows: list[msgspec.Raw] = []
@@ -106,8 +114,8 @@
 
 
 class Versions(msgspec.Struct, omit_defaults=True):
-    """The rows of some buckets: [writer, key, version]. `ask`: send me what is newer at yours, and your
-    versions."""
+    """The rows of some buckets as (writer, key, version). `ask`: the receiver replies with its newer rows and
+    with its own versions."""
 
     buckets: list[int]
     have: list[tuple[str, str, int]]
@@ -115,34 +123,34 @@
 
 
 class Everyone(msgspec.Struct, omit_defaults=True):
-    """All members that are known, in parts. `ask`: tell me yours."""
+    """All known members, split over several messages. `ask`: the receiver replies with all that it knows."""
 
     news: list[msgspec.Raw]
     ask: bool = False
 
 
 class Whose(msgspec.Struct):
-    """What did I write, as far as you know?"""
+    """Asks for the latest version of the sender's rows that the receiver knows."""
 
 
 class Yours(msgspec.Struct, omit_defaults=True):
-    """The latest version of the asker's rows that is known here, 0 for none. `sure`: this copy has heard a
-    majority itself since its start, so it knows what it knew before."""
+    """The latest known version of the asker's rows, 0 for none. `sure`: the replying gateway has itself had
+    replies from a majority since its start, so it knows at least what it knew before."""
 
     version: int
     sure: bool = True
 
 
-KINDS = {
+MESSAGE_TYPES = {
     kind.__name__.lower(): kind
     for kind in (Hello, Welcome, Stale, Ping, Ack, Ask, Nack, Tell, Compare, Versions, Everyone, Whose, Yours)
 }
-NAMES = {kind: name for name, kind in KINDS.items()}
-READ = {name: msgspec.msgpack.Decoder(kind) for name, kind in KINDS.items()}
-ENVELOPE = msgspec.msgpack.Decoder(Envelope)
-MEMBER, ROW = msgspec.msgpack.Decoder(Member), msgspec.msgpack.Decoder(Row)
-WRITE = msgspec.msgpack.Encoder()
+TYPE_NAMES = {kind: name for name, kind in MESSAGE_TYPES.items()}
+DECODERS = {name: msgspec.msgpack.Decoder(kind) for name, kind in MESSAGE_TYPES.items()}
+ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
+MEMBER_DECODER, ROW_DECODER = msgspec.msgpack.Decoder(Member), msgspec.msgpack.Decoder(Row)
+ENCODER = msgspec.msgpack.Encoder()
 
 
-def packed(value):
-    return WRITE.encode(value)
+def encode(value):
+    return ENCODER.encode(value)
--- a/lapiswing/fleet/transport.py
+++ b/lapiswing/fleet/transport.py
@@ -1,7 +1,7 @@
-"""Messages between copies over the loop's streams. A message is lost where its peer can't be reached, stalls
-or goes away, and never altered, joined or split; between two copies those that arrive come in the order they
-were sent. Each peer costs one bounded queue: one that stalls delays nobody else, and when its queue is full
-the oldest go, for later news makes earlier news worthless.
+"""Messages between gateways over TCP streams of the event loop. A message is lost where its peer can't be
+reached, stalls or closes, but is never altered, joined or split; between two gateways the messages that arrive
+do so in the order in which they were sent. Each peer costs one bounded queue: a peer that stalls delays no
+other, and when its queue is full the oldest messages are dropped, as later updates supersede earlier ones.
 
     transport = Streams(loop, "127.0.0.1", 9300, on_message)
     transport.send("10.0.0.5:9300", data)"""
@@ -9,37 +9,39 @@
 import struct
 from collections import deque
 
-from lapiswing.fleet.messages import MOST
+from lapiswing.fleet.messages import MAX_MESSAGE_BYTES
 from lapiswing.loop import Listener, address_of, connect, listen_socket
 
 MS = 1000
-SIZE = struct.Struct(">I")
-CONNECT_US = 1000 * MS
-STALL_US = 3000 * MS  # bytes wait and the peer takes none: it is cut off
-IDLE_US = 20_000 * MS  # a connection that nothing went over is closed
-MOST_WAITING = 128 * 1024  # bytes for one peer
-MOST_PEERS, MOST_IN = 256, 1024  # connections that were opened here; that others opened
-AGAIN_US = 200 * MS  # to a peer that could not be reached
+FRAME_HEADER = struct.Struct(">I")  # the size of the message that follows
+CONNECT_TIMEOUT_US = 1000 * MS
+STALL_TIMEOUT_US = 3000 * MS  # data is waiting and the peer reads none: the connection is cut
+IDLE_TIMEOUT_US = 20_000 * MS  # a connection without traffic is closed
+MAX_QUEUED_BYTES = 128 * 1024  # for one peer
+MAX_PEERS, MAX_INBOUND = 256, 1024  # outgoing connections; incoming ones
+RECONNECT_DELAY_US = 200 * MS  # to a peer that could not be reached
 
 
 class Streams:
-    def __init__(self, loop, host, port, on_message, most_waiting=MOST_WAITING):
+    """The transport of one gateway: a listener and one outgoing connection to each peer."""
+
+    def __init__(self, loop, host, port, on_message, max_queued_bytes=MAX_QUEUED_BYTES):
         """`on_message(data)`. Raises OSError: the address can't be listened on."""
-        self.loop, self.on_message, self.most_waiting = loop, on_message, most_waiting
-        self.listener = Listener(loop, listen_socket(host, port), self.accept, MOST_IN)
+        self.loop, self.on_message, self.max_queued_bytes = loop, on_message, max_queued_bytes
+        self.listener = Listener(loop, listen_socket(host, port), self.accept, MAX_INBOUND)
         self.port = self.listener.address[1]
-        self.peers, self.inward, self.closed = {}, set(), False
+        self.peers, self.inbound, self.closed = {}, set(), False
         self.counts = {"sent": 0, "dropped": 0, "got": 0, "garbage": 0}
         self.sweep_timer = loop.call_later(1000 * MS, self.sweep)
 
     def send(self, address, data):
         """Never blocks, never raises; what can't be sent is dropped and counted."""
-        if self.closed or len(data) > MOST:
+        if self.closed or len(data) > MAX_MESSAGE_BYTES:
             self.counts["dropped"] += 1
             return
         peer = self.peers.get(address)
         if peer is None:
-            if len(self.peers) >= MOST_PEERS:
+            if len(self.peers) >= MAX_PEERS:
                 oldest = min(self.peers.values(), key=lambda p: p.used_us)
                 oldest.end()
             try:
@@ -50,12 +52,12 @@
         peer.send(data)
 
     def accept(self, stream, _peer):
-        self.inward.add(Inward(self, stream))
+        self.inbound.add(InboundConnection(self, stream))
 
     def sweep(self):
         self.sweep_timer = self.loop.call_later(1000 * MS, self.sweep)
         for peer in list(self.peers.values()):
-            peer.look()
+            peer.check()
 
     def close(self):
         if self.closed:
@@ -63,76 +65,77 @@
         self.closed = True
         self.sweep_timer.cancel()
         self.listener.close()
-        for one in [*self.peers.values(), *self.inward]:
-            one.end()
+        for connection in [*self.peers.values(), *self.inbound]:
+            connection.end()
 
 
 class Peer:
-    """A connection that this side opened, and what waits for it."""
+    """An outgoing connection and the messages queued for it."""
 
     def __init__(self, transport, address):
-        """Raises ValueError: no address."""
+        """Raises ValueError: the address is not host:port."""
         self.transport, self.loop, self.address = transport, transport.loop, address
-        self.place = address_of(address)
-        self.queue, self.waiting, self.stream = deque(), 0, None
+        self.socket_address = address_of(address)
+        self.queue, self.queued_bytes, self.stream = deque(), 0, None
         self.used_us = self.loop.now
-        self.dial = connect(self.loop, self.place, CONNECT_US, self.connected)
+        self.connecting = connect(self.loop, self.socket_address, CONNECT_TIMEOUT_US, self.connected)
 
     def send(self, data):
         self.used_us = self.loop.now
         self.queue.append(data)
-        self.waiting += len(data)
-        while self.waiting > self.transport.most_waiting:
-            self.waiting -= len(self.queue.popleft())
+        self.queued_bytes += len(data)
+        while self.queued_bytes > self.transport.max_queued_bytes:
+            self.queued_bytes -= len(self.queue.popleft())
             self.transport.counts["dropped"] += 1
-        self.push()
+        self.flush()
 
-    def push(self):
-        """The stream takes only so much at a time that a stall leaves what waits here, where the oldest can
-        go."""
-        stream, most = self.stream, self.transport.most_waiting // 4
-        while stream is not None and self.queue and not stream.full and stream.unsent_bytes < most:
+    def flush(self):
+        """Hands messages to the stream, but only a quarter of the queue's limit: during a stall the rest stays
+        in the queue, where the oldest can be dropped."""
+        stream, max_unsent_bytes = self.stream, self.transport.max_queued_bytes // 4
+        while stream is not None and self.queue and not stream.full and stream.unsent_bytes < max_unsent_bytes:
             data = self.queue.popleft()
-            self.waiting -= len(data)
-            stream.write(SIZE.pack(len(data)))
+            self.queued_bytes -= len(data)
+            stream.write(FRAME_HEADER.pack(len(data)))
             stream.write(data)
             self.transport.counts["sent"] += 1
 
     def connected(self, stream, why):
-        self.dial = None
+        self.connecting = None
         if stream is None:
             self.transport.counts["dropped"] += len(self.queue)
             self.queue.clear()
-            self.waiting = 0
-            # Kept for a moment, so that each message to a copy that is gone does not cost a connection.
-            self.loop.call_later(AGAIN_US, self.end)
+            self.queued_bytes = 0
+            # Kept for a short time, so that not every message to an unreachable gateway opens a connection.
+            self.loop.call_later(RECONNECT_DELAY_US, self.end)
             return
         if self.transport.closed:
             return stream.abort()
-        stream.high = stream.low = self.transport.most_waiting // 4
+        stream.high = stream.low = self.transport.max_queued_bytes // 4
         stream.owner, self.stream = self, stream
-        self.push()
+        self.flush()
 
-    def look(self):
+    def check(self):
+        """Closes the connection if it has stalled or is idle."""
         now = self.loop.now
-        waits = self.stream is not None and (self.stream.unsent_bytes or self.queue)
-        if waits and now - self.stream.last_progress_us > STALL_US:
+        has_unsent = self.stream is not None and (self.stream.unsent_bytes or self.queue)
+        if has_unsent and now - self.stream.last_progress_us > STALL_TIMEOUT_US:
             self.transport.counts["dropped"] += len(self.queue)
             return self.end()
-        if now - self.used_us > IDLE_US:
+        if now - self.used_us > IDLE_TIMEOUT_US:
             return self.end()
-        self.push()
+        self.flush()
 
-    # the stream's owner
+    # Callbacks of the stream
 
     def on_data(self, data):
-        self.end()  # nothing is said this way
+        self.end()  # the accepting side sends nothing on this connection
 
     def on_eof(self):
         self.end()
 
     def on_drained(self):
-        self.push()
+        self.flush()
 
     def on_closed(self, why):
         self.stream = None
@@ -141,20 +144,20 @@
     def end(self):
         if self.transport.peers.get(self.address) is self:
             del self.transport.peers[self.address]
-        if self.dial is not None:
-            self.dial.cancel()
-            self.dial = None
+        if self.connecting is not None:
+            self.connecting.cancel()
+            self.connecting = None
         if self.stream is not None:
             stream, self.stream = self.stream, None
             stream.abort() if stream.unsent_bytes else stream.close()
         self.queue.clear()
-        self.waiting = 0
+        self.queued_bytes = 0
 
     abort = end
 
 
-class Inward:
-    """A connection that another copy opened: frames, a size and the message."""
+class InboundConnection:
+    """A connection that another gateway opened. It carries frames: a size, then the message."""
 
     def __init__(self, transport, stream):
         self.transport, self.stream, self.data = transport, stream, bytearray()
@@ -162,21 +165,21 @@
 
     def on_data(self, data):
         self.data += data
-        at = 0
-        while len(self.data) - at >= SIZE.size:
-            (size,) = SIZE.unpack_from(self.data, at)
-            if not 0 < size <= MOST:
+        offset = 0
+        while len(self.data) - offset >= FRAME_HEADER.size:
+            (size,) = FRAME_HEADER.unpack_from(self.data, offset)
+            if not 0 < size <= MAX_MESSAGE_BYTES:
                 self.transport.counts["garbage"] += 1
                 return self.end()
-            if len(self.data) - at - SIZE.size < size:
+            if len(self.data) - offset - FRAME_HEADER.size < size:
                 break
-            message = bytes(self.data[at + SIZE.size : at + SIZE.size + size])
-            at += SIZE.size + size
+            message = bytes(self.data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + size])
+            offset += FRAME_HEADER.size + size
             self.transport.counts["got"] += 1
             self.transport.on_message(message)
             if self.stream is None:
                 return
-        del self.data[:at]
+        del self.data[:offset]
 
     def on_eof(self):
         self.end()
@@ -189,8 +192,8 @@
         self.end()
 
     def end(self):
-        if self in self.transport.inward:
-            self.transport.inward.discard(self)
+        if self in self.transport.inbound:
+            self.transport.inbound.discard(self)
             self.transport.listener.gone()
         if self.stream is not None:
             stream, self.stream = self.stream, None
--- a/lapiswing/lab/fleetdays.py
+++ b/lapiswing/lab/fleetdays.py
@@ -170,7 +170,7 @@
                 ),
                 default=0,
             )
-            if newest > link.rows.version:
+            if newest > link.rows.own_version:
                 self.faults.append(f"gw-{node.index} goes on as {link.id}, behind what a majority has seen")
 
 
--- a/lapiswing/lab/fleetsim.py
+++ b/lapiswing/lab/fleetsim.py
@@ -12,7 +12,7 @@
 import numpy as np
 
 from lapiswing.fleet.link import TICK_US, Link
-from lapiswing.fleet.members import Figures
+from lapiswing.fleet.members import MemberConfig
 from lapiswing.standin.wire import Fates
 
 MS = 1000
@@ -39,7 +39,7 @@
 
 
 class Fleet:
-    def __init__(self, n, seed, seeds=3, figures=Figures()):
+    def __init__(self, n, seed, seeds=3, figures=MemberConfig()):
         self.seed, self.figures = seed, figures
         self.net = Network(np.random.default_rng([seed, 1]))
         self.rng = np.random.default_rng([seed, 2])
@@ -74,8 +74,8 @@
             rng.bytes(16),
             lambda address, data, node=node: self.send(node, address, data),
             self.now,
-            life=node.disk["life"],
-            figures=self.figures,
+            identity_suffix=node.disk["life"],
+            config=self.figures,
             on_log=lambda event, **figures: node.events.append((self.now, event, figures)),
             on_row=lambda row, raw, node=node: self.on_row(node, row, raw),
             on_identity=lambda old, new: self.keep_identity(node),
@@ -86,7 +86,7 @@
         return link
 
     def keep_identity(self, node):
-        node.disk["life"] = node.link.life
+        node.disk["life"] = node.link.identity_suffix
 
     def start_all(self, within_ms=1000):
         for i in range(len(self.nodes)):
@@ -137,7 +137,7 @@
         node = self.nodes[i]
         row, raw = node.link.write(key, value)
         node.disk["rows"][row.key] = raw
-        node.link.tell(raw)
+        node.link.publish(raw)
         return row
 
     # ---- faults
--- a/tests/contracts/transports.py
+++ b/tests/contracts/transports.py
@@ -1,9 +1,9 @@
-"""The transports that have to keep the contract. A further one is a line in TRANSPORTS.
+"""The transports that have to fulfil the contract, listed in TRANSPORTS.
 
-Each is a function of a seed -> Net: `end(name)` makes an endpoint with `address`, `send(address, data)`,
-`got` (messages, in order), `close()` and `open()` again at the same address; `way(a, b)` is the address by
-which a reaches b; `run(ms, until)` lets time pass; `stall(end)` lets an endpoint read nothing more, where
-that is possible."""
+Each is called with a seed and gives a network: `end(name)` makes an endpoint with `address`, `send(address,
+data)`, `got` (messages received, in order), `close()` and `open()` again at the same address; `route(a, b)` is
+the address by which a reaches b; `run(ms, until)` lets time pass; `stall(end)`, where supported, makes an
+endpoint stop reading."""
 
 from lapiswing.fleet.transport import Streams
 from lapiswing.lab.fleetsim import Fleet
@@ -12,6 +12,8 @@
 
 
 class SimEnd:
+    """An endpoint of the simulated network."""
+
     def __init__(self, net, index):
         self.net, self.index, self.got, self.up = net, index, [], True
         self.address = net.fleet.address(index)
@@ -33,9 +35,9 @@
 
 
 class Simulated:
-    """The network that simulated fleets run on. It keeps no order."""
+    """The network of simulated fleets. It does not keep messages in order."""
 
-    good, ordered = True, False
+    reliable, ordered = True, False
 
     def __init__(self, seed):
         self.fleet, self.ends = Fleet(8, seed), {}
@@ -45,12 +47,12 @@
         end.open()
         return end
 
-    def way(self, a, b):
+    def route(self, a, b):
         return b.address
 
     def run(self, ms, until=None):
-        for at in range(0, ms, 5):  # time passes, and `until` is asked, though nothing is on its way
-            self.fleet.call_later(at * 1000, lambda: None)
+        for delay_ms in range(0, ms, 5):  # empty events, so that `until` is evaluated while no message is in flight
+            self.fleet.call_later(delay_ms * 1000, lambda: None)
         return self.fleet.run(ms, until)
 
     def close(self):
@@ -58,6 +60,8 @@
 
 
 class SocketEnd:
+    """An endpoint with real sockets."""
+
     def __init__(self, net):
         self.net, self.got, self.port = net, [], free_ports(1)[0]
         self.address = f"127.0.0.1:{self.port}"
@@ -75,7 +79,9 @@
 
 
 class Sockets:
-    good, ordered = True, True
+    """Real sockets on loopback."""
+
+    reliable, ordered = True, True
 
     def __init__(self, seed):
         self.loop, self.ends, self.wires, self.seed = Loop(Clock()), {}, {}, seed
@@ -84,16 +90,16 @@
         end = self.ends[name] = SocketEnd(self)
         return end
 
-    def way(self, a, b):
+    def route(self, a, b):
         return b.address
 
     def run(self, ms, until=None):
         return self.loop.run_until(until or (lambda: False), ms * 1000)
 
     def stall(self, end):
-        """It reads nothing from now on, as a process that stands still."""
-        for inward in end.transport.inward:
-            inward.stream.pause()
+        """The endpoint reads nothing from now on, like a stopped process."""
+        for connection in end.transport.inbound:
+            connection.stream.pause()
         end.transport.listener.on_stream = lambda stream, peer: (end.transport.accept(stream, peer), stream.pause())
 
     def close(self):
@@ -105,11 +111,11 @@
 
 
 class BadLink(Sockets):
-    """Loses three in ten, repeats some, keeps no order."""
+    """Loses three in ten messages, repeats some, and reorders them."""
 
-    good, ordered = False, False
+    reliable, ordered = False, False
 
-    def way(self, a, b):
+    def route(self, a, b):
         if (a, b) not in self.wires:
             wire = self.wires[a, b] = Wire(self.loop, b.address, self.seed)
             wire.loss, wire.twice, wire.delay = 0.3, 0.2, (0, 30_000)
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -1,4 +1,4 @@
-"""The fleet link in gateways: sockets, disk, settings, what operators see. Three copies on one loop."""
+"""The fleet link in running gateways: sockets, store, settings, facts for operators. Three hosts on one loop."""
 
 import subprocess
 import sys
@@ -8,13 +8,13 @@
 from platform_harness import RecordingLog
 from simfiles import SimFiles
 
-from lapiswing.fleet.host import OTHERS, OWN, Host
+from lapiswing.fleet.host import OTHERS_PREFIX, OWN_PREFIX, Host
 from lapiswing.loop import Clock, Loop, free_ports
 from lapiswing.settings import SettingsError, load_text
 from lapiswing.store import Engine, Files, InlineWorker
 
 S = 1_000_000
-HEALED_US = 10 * S  # rows that a copy has missed are with it within this time (docs/fleet.md)
+CATCH_UP_US = 10 * S  # a gateway receives rows that it has missed within this time (docs/fleet.md)
 KEY = "0123456789abcdef"
 BASE = """gateway { name: "gw-a" } group { name: "q" effect: REPLAYABLE } tenant { name: "t" api_key: "k" }
 kind { name: "m" role: BOTH memory_tokens: 1000 } box { id: "127.0.0.1:9" kind: "m" }
@@ -22,7 +22,7 @@
 
 
 class Site:
-    """Copies by name, each with a store of its own."""
+    """Hosts by name, each with a store of its own."""
 
     def __init__(self, folder, names=("a", "b", "c")):
         self.loop, self.folder, self.hosts, self.stores, self.rows = Loop(Clock()), folder, {}, {}, []
@@ -48,8 +48,8 @@
         self.hosts.pop(name).close(at_once=True)
         self.stores.pop(name).close()
 
-    def until(self, done, most_us=15 * S):
-        assert self.loop.run_until(done, most_us), "it did not come about"
+    def until(self, done, timeout_us=15 * S):
+        assert self.loop.run_until(done, timeout_us), "the expected state was not reached in time"
 
     def ready(self):
         return all(h.link.may_write() and len(h.link.members.alive()) == len(self.hosts) - 1 for h in self.hosts.values())
@@ -68,18 +68,18 @@
     site.close()
 
 
-def test_a_row_is_on_the_writers_disk_before_it_is_told_and_comes_to_every_disk(site):
-    order, a = [], site.hosts["a"]
-    tell = a.link.tell
-    a.link.tell = lambda raw: (order.append(dict(site.stores["a"].range(OWN, b"f/o0"))), tell(raw))
+def test_a_row_is_on_the_writers_disk_before_it_is_published_and_reaches_every_disk(site):
+    stored, a = [], site.hosts["a"]
+    publish = a.link.publish
+    a.link.publish = lambda raw: (stored.append(dict(site.stores["a"].range(OWN_PREFIX, b"f/o0"))), publish(raw))
     a.write("k", b"1")
-    assert list(order[0]) == [OWN + b"k"]
-    at = OTHERS + f"{a.link.id}/k".encode()
-    site.until(lambda: all(site.stores[n].get(at) for n in "bc"))
+    assert list(stored[0]) == [OWN_PREFIX + b"k"]
+    store_key = OTHERS_PREFIX + f"{a.link.id}/k".encode()
+    site.until(lambda: all(site.stores[n].get(store_key) for n in "bc"))
     assert sorted(site.rows) == [("b", "k"), ("c", "k")]
 
 
-def test_a_row_that_the_disk_does_not_take_is_not_told(tmp_path):
+def test_a_row_that_cannot_be_written_to_the_disk_is_not_published(tmp_path):
     site = Site(tmp_path)
     files = SimFiles()
     site.kill("a")
@@ -91,61 +91,61 @@
             raise OSError(28, "No space left on device")
 
     files.fail = fail
-    told = []
-    a.write("k", b"1", told.append)
-    assert told and told[0] and a.unwritten == 1
+    errors = []
+    a.write("k", b"1", errors.append)
+    assert errors and errors[0] and a.failed_writes == 1
     site.loop.run_until(lambda: False, 2 * S)
     assert not site.rows and not any(h.link.rows.table for h in site.hosts.values())
     site.close()
 
 
-def test_a_killed_copy_comes_back_with_its_identity_and_all_rows(site):
+def test_a_killed_gateway_restarts_with_its_identity_and_all_rows(site):
     a = site.hosts["a"]
     a.write("k", b"1")
     site.hosts["b"].write("k", b"2")
     site.until(lambda: all(len(h.link.rows.table) == 2 for h in site.hosts.values()))
-    was = a.link.id
+    old_id = a.link.id
     site.kill("a")
     site.hosts["b"].write("k", b"3")
     site.loop.run_until(lambda: False, S // 2)
     a = site.start("a")
-    assert a.link.id == was and len(a.link.rows.table) == 2 and not a.link.may_write()
+    assert a.link.id == old_id and len(a.link.rows.table) == 2 and not a.link.may_write()
     site.until(lambda: a.link.may_write() and site.ready())
     b = site.hosts["b"].link.id
-    site.until(lambda: a.link.rows.of(b)["k"].value == b"3", HEALED_US)
-    assert a.link.id == was
+    site.until(lambda: a.link.rows.rows_of(b)["k"].value == b"3", CATCH_UP_US)
+    assert a.link.id == old_id
     assert a.write("k", b"4").version == 2
 
 
-def test_a_copy_whose_folder_was_emptied_is_another_one(site):
+def test_a_gateway_whose_folder_was_emptied_takes_a_new_identity(site):
     a = site.hosts["a"]
     a.write("k", b"1")
     site.until(lambda: all(len(h.link.rows.table) == 1 for h in site.hosts.values()))
-    was = a.link.id
+    old_id = a.link.id
     site.kill("a")
     for file in (site.folder / "a").iterdir():
         file.unlink()
     a = site.start("a")
     site.until(site.ready)
-    site.until(lambda: "k" in a.link.rows.of(was), HEALED_US)
-    assert a.link.id != was and a.link.rows.of(was)["k"].value == b"1"
+    site.until(lambda: "k" in a.link.rows.rows_of(old_id), CATCH_UP_US)
+    assert a.link.id != old_id and a.link.rows.rows_of(old_id)["k"].value == b"1"
     a.write("k", b"2")
     site.until(lambda: all(len(h.link.rows.table) == 2 for h in site.hosts.values()))
 
 
-def test_one_that_closes_has_left_at_once(site):
+def test_a_gateway_that_closes_has_left_within_two_seconds(site):
     a = site.hosts["a"]
     a.close()
     site.until(lambda: all(site.hosts[n].link.members.state_of(a.link.id) == "left" for n in "bc"), 2 * S)
 
 
-def test_one_that_is_killed_is_gone_for_all_within_five_seconds(site):
-    was = site.hosts["a"].link.id
+def test_a_killed_gateway_is_gone_for_all_within_five_seconds(site):
+    old_id = site.hosts["a"].link.id
     site.kill("a")
-    site.until(lambda: all(site.hosts[n].link.members.state_of(was) == "gone" for n in "bc"), 5 * S)
+    site.until(lambda: all(site.hosts[n].link.members.state_of(old_id) == "gone" for n in "bc"), 5 * S)
 
 
-def test_a_copy_with_a_foreign_key_is_nobodys_peer(site):
+def test_a_gateway_with_a_foreign_key_has_no_peers(site):
     (port,) = free_ports(1)
     site.ports["x"] = port
     stranger = site.start("x")
@@ -155,11 +155,11 @@
     assert all(len(site.hosts[n].link.members.all) == 2 for n in "abc")
 
 
-def test_what_operators_see(site):
+def test_facts_and_log_events_for_operators(site):
     facts = site.hosts["a"].facts()
     assert facts["may_write"] and [m["state"] for m in facts["members"]] == ["alive", "alive"]
-    told = {event for event, _ in site.hosts["a"].log.lines}
-    assert {"fleet link", "fleet member", "fleet: identity kept"} <= told
+    events = {event for event, _ in site.hosts["a"].log.lines}
+    assert {"fleet link", "fleet member", "fleet: identity kept"} <= events
 
 
 @pytest.mark.parametrize(
@@ -173,20 +173,20 @@
         ('listen { host: "127.0.0.1" port: 9300 } key: "0123456789abcdef" peer: "x"', "fleet.peer[0]", "host:port"),
     ],
 )
-def test_bad_settings_are_told_by_field_and_reason(fleet, field, why):
+def test_wrong_settings_are_reported_by_field_and_reason(fleet, field, why):
     with pytest.raises(SettingsError) as problem:
         load_text(BASE + f"fleet {{ {fleet} }}", "s")
     assert any(f.field == field and why in f.reason for f in problem.value.faults), problem.value.faults
 
 
-def test_a_gateway_joins_where_it_is_configured_and_loads_nothing_of_it_elsewhere(site):
+def test_a_gateway_joins_when_configured_and_otherwise_does_not_load_the_fleet_link(site):
     from gateway_site import GatewaySite
 
     (port,) = free_ports(1)
     more = f'fleet {{ listen {{ host: "127.0.0.1" port: {port} }} peer: "127.0.0.1:{site.ports["a"]}" key: "{KEY}" }}\n'
     with GatewaySite(more=more) as place:
-        fleet, end = place.gateway.fleet, site.loop.clock.now_us() + 10 * S
-        while not fleet.link.may_write() and site.loop.clock.now_us() < end:
+        fleet, deadline_us = place.gateway.fleet, site.loop.clock.now_us() + 10 * S
+        while not fleet.link.may_write() and site.loop.clock.now_us() < deadline_us:
             site.loop.turn(5_000)
             place.loop.turn(5_000)
         assert fleet.link.may_write() and len(fleet.facts()["members"]) == 3
