--- a/lapiswing/cli/dns.py
+++ b/lapiswing/cli/dns.py
@@ -74,7 +74,10 @@
             resolver.ask(
                 name,
                 kind,
-                lambda answer, why, name=name, kind=kind: (browser.told(name, kind, answer, loop.clock.now_us(), why), ask()),
+                lambda answer, why, name=name, kind=kind: (
+                    browser.on_answer(name, kind, answer, loop.clock.now_us(), why),
+                    ask(),
+                ),
             )
 
     ask()
@@ -82,7 +85,7 @@
     view = browser.view(loop.clock.now_us())
     if view.state == "none":
         raise click.ClickException(f"{service}: {browser.problem or 'nothing is known'}")
-    rows = [b._asdict() for b in view.boxes]
+    rows = [b._asdict() for b in view.servers]
     if as_json:
         return click.echo(json.dumps({"boxes": rows, "refused": view.refused}))
     tell(
--- a/lapiswing/dns/codec.py
+++ b/lapiswing/dns/codec.py
@@ -1,4 +1,4 @@
-"""Questions and answers as bytes. Pure; the codec is dnspython's.
+"""Queries and answers as bytes, by means of dnspython. No I/O.
 
 RFC 1035, RFC 6891 (EDNS), RFC 2782 (SRV), RFC 6763 (TXT of DNS-SD)."""
 
@@ -12,14 +12,14 @@
 import dns.rdataclass
 import dns.rdatatype
 
-MOST_BYTES = 65535
-MOST_RECORDS = 20_000
-CHAIN = 8  # CNAMEs followed
-EDNS_BYTES = 1232  # what passes every usual path in one piece (DNS flag day 2020)
+MAX_ANSWER_BYTES = 65535
+MAX_RECORDS = 20_000
+MAX_CNAMES = 8  # followed for one query
+EDNS_BYTES = 1232  # not fragmented on any usual path (DNS flag day 2020)
 
 
 class BadAnswer(Exception):
-    """Not an answer to this question: dropped and counted. `kind`: garbage, id, question, size."""
+    """Not a valid answer to this query; it is dropped and counted. `kind`: garbage, id, question, size."""
 
     def __init__(self, kind, text=""):
         super().__init__(f"{kind}: {text}" if text else kind)
@@ -27,24 +27,26 @@
 
 
 class Answer(NamedTuple):
+    """A decoded answer."""
+
     rcode: str  # NOERROR, NXDOMAIN, SERVFAIL, ...
     truncated: bool
-    records: list  # of the type asked for, at the end of its CNAMEs: plain values, see `plain`
-    ttl: int  # seconds; of a negative answer the SOA's minimum
-    more: dict  # (name, type) -> (values, ttl): what else came along
+    records: list  # of the requested type, after following CNAMEs; values as `record_value` gives them
+    ttl: int  # seconds; for a negative answer the SOA's minimum
+    additional: dict  # (name, type) -> (values, ttl): other records in the answer
 
 
-def question(name, kind, number, edns=EDNS_BYTES):
-    """-> bytes. Raises ValueError: no such name or type."""
+def question(name, kind, query_id, edns_bytes=EDNS_BYTES):
+    """-> a query as bytes. Raises ValueError: the name or the type is invalid."""
     try:
-        message = dns.message.make_query(dns.name.from_text(name), dns.rdatatype.from_text(kind), use_edns=0, payload=edns)
+        message = dns.message.make_query(dns.name.from_text(name), dns.rdatatype.from_text(kind), use_edns=0, payload=edns_bytes)
     except (dns.exception.DNSException, UnicodeError) as problem:
         raise ValueError(f"{name!r}: {problem}") from None
-    message.id = number
+    message.id = query_id
     return message.to_wire()
 
 
-def plain(kind, rdata):
+def record_value(kind, rdata):
     """SRV -> (priority, weight, port, target); TXT -> tuple of bytes; PTR, CNAME -> name; A, AAAA -> text."""
     if kind == "SRV":
         return rdata.priority, rdata.weight, rdata.port, name_of(rdata.target)
@@ -58,17 +60,17 @@
 
 
 def name_of(name):
-    """Lower case, with a final dot; bytes that are no text stay escaped, as dnspython writes them."""
+    """Lower case, with a final dot; bytes that are not text stay escaped, as dnspython writes them."""
     return name.to_text().lower()
 
 
-def read(data, number, name, kind):
-    """An answer to this question. Raises BadAnswer."""
-    if len(data) > MOST_BYTES:
+def decode_answer(data, query_id, name, kind):
+    """-> the Answer to the query with this id, name and type. Raises BadAnswer."""
+    if len(data) > MAX_ANSWER_BYTES:
         raise BadAnswer("size", f"{len(data)} bytes")
     if len(data) < 12:
-        raise BadAnswer("garbage", "shorter than a head")
-    if int.from_bytes(data[:2], "big") != number:
+        raise BadAnswer("garbage", "shorter than a header")
+    if int.from_bytes(data[:2], "big") != query_id:
         raise BadAnswer("id")
     try:
         message = dns.message.from_wire(data, ignore_trailing=True)
@@ -81,33 +83,33 @@
     asked = message.question[0]
     wanted = name_of(dns.name.from_text(name))
     if name_of(asked.name) != wanted or dns.rdatatype.to_text(asked.rdtype) != kind:
-        raise BadAnswer("question", "another one's")
+        raise BadAnswer("question", "answers another question")
     truncated = bool(message.flags & dns.flags.TC)
-    found, total = {}, 0
+    rrsets, total = {}, 0
     for rrset in (*message.answer, *message.additional):
         if rrset.rdclass != dns.rdataclass.IN:
             continue
         type_ = dns.rdatatype.to_text(rrset.rdtype)
         total += len(rrset)
-        if total > MOST_RECORDS:
+        if total > MAX_RECORDS:
             raise BadAnswer("size", "too many records")
-        values = [v for v in (plain(type_, rdata) for rdata in rrset) if v is not None]
+        values = [v for v in (record_value(type_, rdata) for rdata in rrset) if v is not None]
         if values:
-            old = found.get((name_of(rrset.name), type_), ([], rrset.ttl))
-            found[name_of(rrset.name), type_] = old[0] + values, min(old[1], rrset.ttl)
-    records, ttl, at, seen = [], 1 << 31, wanted, set()
+            old = rrsets.get((name_of(rrset.name), type_), ([], rrset.ttl))
+            rrsets[name_of(rrset.name), type_] = old[0] + values, min(old[1], rrset.ttl)
+    records, ttl, owner, visited = [], 1 << 31, wanted, set()
     while True:
-        if (at, kind) in found:
-            records, least = found[at, kind]
-            ttl = min(ttl, least)
+        if (owner, kind) in rrsets:
+            records, rrset_ttl = rrsets[owner, kind]
+            ttl = min(ttl, rrset_ttl)
             break
-        alias = found.get((at, "CNAME"))
-        if alias is None or at in seen or len(seen) >= CHAIN:
+        alias = rrsets.get((owner, "CNAME"))
+        if alias is None or owner in visited or len(visited) >= MAX_CNAMES:
             break
-        seen.add(at)
-        at, ttl = alias[0][0], min(ttl, alias[1])
+        visited.add(owner)
+        owner, ttl = alias[0][0], min(ttl, alias[1])
     if not records:
         soa = [(r.ttl, r[0].minimum) for r in message.authority if r.rdtype == dns.rdatatype.SOA]
         ttl = min(soa[0]) if soa else 0
-    more = {k: v for k, v in found.items() if k[1] in ("SRV", "TXT", "A", "AAAA") and k != (wanted, kind)}
-    return Answer(dns.rcode.to_text(message.rcode()), truncated, sorted(set(records)), ttl, more)
+    additional = {k: v for k, v in rrsets.items() if k[1] in ("SRV", "TXT", "A", "AAAA") and k != (wanted, kind)}
+    return Answer(dns.rcode.to_text(message.rcode()), truncated, sorted(set(records)), ttl, additional)
--- a/lapiswing/membership/discover.py
+++ b/lapiswing/membership/discover.py
@@ -37,11 +37,11 @@
 
     def told(self, browser, name, kind, answer, why):
         if not self.closed:
-            browser.told(name, kind, answer, self.loop.clock.now_us(), why)
+            browser.on_answer(name, kind, answer, self.loop.clock.now_us(), why)
             if browser not in self.soon:  # an instance leads to its records, these to addresses
                 self.soon.add(browser)
                 # With many names a look over all of them costs: it is taken less often then.
-                self.loop.call_later(SOON_US + 50 * len(browser.cache.known), self.ask, browser)
+                self.loop.call_later(SOON_US + 50 * len(browser.cache.entries), self.ask, browser)
 
     def see(self, source, browser):
         now = self.loop.clock.now_us()
@@ -52,9 +52,9 @@
             return
         if view.state != self.states.get(source):
             self.states[source] = view.state
-            self.log.info("records", source=source, state=view.state, boxes=len(view.boxes), why=browser.problem)
+            self.log.info("records", source=source, state=view.state, boxes=len(view.servers), why=browser.problem)
         rows, refused = [], list(view.refused)
-        for found in view.boxes:
+        for found in view.servers:
             try:
                 rows.append(self.row_of(found))
             except ValueError as problem:
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -1,17 +1,17 @@
-"""Questions and answers on loopback: a name server that is silent, lies, drips, truncates, and boxes found by its records."""
+"""DNS on loopback: a name server that is silent, slow, or sends wrong or truncated answers; and servers found by its records."""
 
 import random
 import threading
 
 import dns.message
 import pytest
+from gateway_site import GatewaySite, RawClient, chat, post, status
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from gateway_site import GatewaySite, RawClient, chat, post, status
 
-from lapiswing.dns.browse import Browser, Refused, box_of, words_of
+from lapiswing.dns.browse import Browser, Refused, parse_server, parse_txt
 from lapiswing.dns.cache import Cache
-from lapiswing.dns.codec import BadAnswer, question, read
+from lapiswing.dns.codec import BadAnswer, decode_answer, question
 from lapiswing.dns.resolver import Resolver
 from lapiswing.loop import Clock, Loop, free_ports
 from lapiswing.membership.discover import Discovery
@@ -22,6 +22,8 @@
 
 
 class Net:
+    """Name servers and a resolver that asks them, on one loop."""
+
     def __init__(self, servers=1):
         self.loop = Loop(Clock())
         self.servers = [NameServer(self.loop) for _ in range(servers)]
@@ -36,10 +38,10 @@
             server.close()
         self.loop.close()
 
-    def ask(self, name="x.example.", kind="A", most_s=12):
+    def ask(self, name="x.example.", kind="A", timeout_s=12):
         out = []
         self.resolver.ask(name, kind, lambda answer, why: out.append((answer, why)))
-        assert self.loop.run_until(lambda: out, most_s * S)
+        assert self.loop.run_until(lambda: out, timeout_s * S)
         return out[0]
 
 
@@ -60,14 +62,14 @@
         server.put("z.example.", "A", "10.0.0.9")
         assert net.ask()[0].records == ["10.0.0.9"] and net.ask()[0].ttl == 3
         server.put("z.example.", "A")
-        server.put("z.example.", "CNAME", "x.example.")  # round and round
+        server.put("z.example.", "CNAME", "x.example.")  # a cycle
         assert net.ask()[0].records == []
 
 
 @pytest.mark.parametrize(
     "garbage,counted", [("bytes", "garbage"), ("id", "id"), ("question", "question"), ("sender", "sender"), ("loop", "garbage")]
 )
-def test_what_is_no_answer_is_dropped_and_counted_and_another_server_asked(garbage, counted):
+def test_invalid_answers_are_dropped_and_counted_and_another_server_is_asked(garbage, counted):
     with Net(2) as net:
         for server in net.servers:
             server.put("x.example.", "A", "10.0.0.1")
@@ -79,7 +81,7 @@
 
 
 @pytest.mark.parametrize("fault", ["silent", "rcode"])
-def test_a_bad_server_is_left_for_a_good_one_and_stays_aside(fault):
+def test_a_failing_server_is_replaced_by_a_working_one_and_avoided(fault):
     with Net(2) as net:
         net.servers[1].put("x.example.", "A", "10.0.0.1")
         setattr(net.servers[0], fault, True if fault == "silent" else "SERVFAIL")
@@ -88,7 +90,7 @@
         assert len(net.servers[0].asked) <= 1 and net.resolver.servers[0].fails == 1
 
 
-def test_no_server_at_all_ends_in_a_reason():
+def test_a_query_fails_with_a_reason_when_no_server_answers():
     with Net(2) as net:
         for server in net.servers:
             server.silent = True
@@ -96,7 +98,7 @@
         assert answer is None and why == "no server answers" and net.resolver.counts["timed out"] == 3
 
 
-def test_truncation_goes_on_over_tcp_and_faults_there_are_borne():
+def test_truncated_answers_are_requested_over_tcp_and_faults_there_are_tolerated():
     with Net(2) as net:
         for server in net.servers:
             server.put("x.example.", "A", *[f"10.0.{i // 250}.{i % 250}" for i in range(2000)])
@@ -104,11 +106,11 @@
         net.servers[0].cut_tcp = True
         assert len(net.ask()[0].records) == 2000
         net.servers[0].cut_tcp, net.servers[0].drip_ms = False, 5
-        net.resolver.servers[0].good()
+        net.resolver.servers[0].record_success()
         assert len(net.ask()[0].records) == 2000 and net.servers[1].over_tcp >= 1
 
 
-def test_many_questions_at_once_are_all_answered():
+def test_many_concurrent_queries_are_all_answered():
     with Net() as net:
         for i in range(300):
             net.servers[0].put(f"x{i}.example.", "A", "10.0.0.1")
@@ -119,23 +121,23 @@
 
 
 @pytest.mark.parametrize("name", ["", "a" * 70 + ".example.", "a..b."])
-def test_names_that_are_none(name):
+def test_invalid_names(name):
     with pytest.raises(ValueError):
         question(name, "A", 1) if name else question("a..b.", "A", 1)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.lists(st.tuples(st.integers(0, 200), st.integers(0, 255)), max_size=6))
-def test_no_bytes_whatever_do_more_than_be_refused(noise, flips):
+def test_arbitrary_bytes_are_decoded_or_rejected(noise, flips):
     query = dns.message.from_wire(question("x.example.", "SRV", 77))
     reply = dns.message.make_response(query)
     reply.answer.append(dns.rrset.from_text("x.example.", 5, "IN", "SRV", "0 0 80 y.example."))
-    good = bytearray(reply.to_wire())
-    for at, value in flips:
-        good[at % len(good)] = value
-    for data in (noise, bytes(good), bytes(good[: len(noise)]), b"\0M" + noise):
+    altered = bytearray(reply.to_wire())
+    for offset, value in flips:
+        altered[offset % len(altered)] = value
+    for data in (noise, bytes(altered), bytes(altered[: len(noise)]), b"\0M" + noise):
         try:
-            answer = read(data, 77, "x.example.", "SRV")
+            answer = decode_answer(data, 77, "x.example.", "SRV")
             assert all(len(r) == 4 for r in answer.records)
         except BadAnswer:
             pass
@@ -144,7 +146,7 @@
 # ---- lifetimes
 
 
-def test_lifetimes_have_a_floor_and_a_ceiling_and_the_last_view_stands_for_a_stated_time():
+def test_lifetimes_are_bounded_and_stale_records_remain_usable_for_a_limited_time():
     cache = Cache(floor_s=2, ceiling_s=100, negative_s=5, stale_s=3600)
     cache.put("a.", "A", ["1"], 0, 0)
     assert cache.get("a.", "A", S) == (["1"], "fresh") and cache.get("a.", "A", 1_700_000)[1] == "due"
@@ -153,7 +155,7 @@
     assert cache.get("a.", "A", 101 * S) == (["1"], "stale") and cache.get("a.", "A", 3700 * S) == (None, "none")
     cache.put("b.", "A", [], 10**9, 0)
     assert cache.get("b.", "A", 3 * S) == ([], "fresh") and cache.get("b.", "A", 6 * S)[1] == "stale"
-    small = Cache(most=2)
+    small = Cache(max_entries=2)
     assert small.put("a.", "A", [], 1, 0) and small.put("b.", "A", [], 1, 0) and not small.put("c.", "A", [], 1, 0)
 
 
@@ -161,17 +163,17 @@
 
 
 class Site(Net):
-    """Boxes announced by records, and a view of them."""
+    """Servers announced by records, and the lists that discovery reports."""
 
     def __init__(self, servers=1, sd=True, name=SERVICE, **defaults):
         super().__init__(servers)
-        self.told, self.browser = [], Browser(name, Cache(floor_s=1), sd, defaults)
+        self.reported, self.browser = [], Browser(name, Cache(floor_s=1), sd, defaults)
         self.discovery = Discovery(
             self.loop,
             self.resolver,
             {"sd": self.browser},
             lambda found: found,
-            lambda source, rows: self.told.append(rows),
+            lambda source, rows: self.reported.append(rows),
             lambda: None,
             Log(),
         )
@@ -180,30 +182,32 @@
         self.discovery.close()
         super().__exit__()
 
-    def until(self, done, most_s=10):
-        assert self.loop.run_until(lambda: self.told and done(self.told[-1]), most_s * S), self.told[-1:]
+    def until(self, done, timeout_s=10):
+        assert self.loop.run_until(lambda: self.reported and done(self.reported[-1]), timeout_s * S), self.reported[-1:]
 
-    def announce(self, n, port=9000, **words):
+    def announce(self, n, port=9000, **attributes):
         for server in self.servers:
-            server.box(SERVICE, f"box{n}", f"h{n}.site.example.", f"10.0.0.{n}", port, ttl=1, **{"role": "read"} | words)
+            server.box(SERVICE, f"box{n}", f"h{n}.site.example.", f"10.0.0.{n}", port, ttl=1, **{"role": "read"} | attributes)
 
 
 class Log:
+    """Discards all records."""
+
     def info(self, *_, **__):
         pass
 
     warning = info
 
 
-def test_boxes_are_found_with_their_words_and_leave_with_their_records():
+def test_servers_are_found_with_their_attributes_and_removed_with_their_records():
     with Site() as site:
         site.announce(1, zone="a", cell="a1", size=2.5, gen=1700000000000)
         site.announce(2, role="write", drain=1)
         site.until(lambda rows: len(rows) == 2)
-        one, two = site.told[-1]
+        one, two = site.reported[-1]
         assert one[:1] == ("10.0.0.1:9000",) and one[2:] == ("read", None, "a", "a1", 2.5, 1700000000000, False)
         assert two.role == "write" and two.draining
-        assert site.told[0] == site.told[-1]  # the first sight is told whole
+        assert site.reported[0] == site.reported[-1]  # the first report is already complete
         site.servers[0].withdraw(SERVICE, "box1")
         site.until(lambda rows: [r.id for r in rows] == ["10.0.0.2:9000"])
 
@@ -215,10 +219,10 @@
         server.put("h1.site.example.", "A", "10.0.0.1", ttl=1)
         server.put("h2.site.example.", "AAAA", "fd00::2", ttl=1)
         site.until(lambda rows: len(rows) == 2)
-        assert [r.id for r in site.told[-1]] == ["10.0.0.1:9001", "[fd00::2]:9002"] and site.told[-1][0].role == "write"
+        assert [r.id for r in site.reported[-1]] == ["10.0.0.1:9001", "[fd00::2]:9002"] and site.reported[-1][0].role == "write"
 
 
-def test_while_no_server_answers_the_last_view_stands_and_is_told_as_stale():
+def test_while_no_name_server_answers_the_last_view_remains_and_is_reported_as_stale():
     with Site(2) as site:
         site.announce(1)
         site.until(lambda rows: len(rows) == 1)
@@ -226,7 +230,7 @@
             server.silent = True
         assert site.loop.run_until(lambda: site.discovery.states["sd"] == "stale", 10 * S)
         assert site.loop.run_until(lambda: site.discovery.rows()["sources"][0]["problem"], 10 * S)
-        assert len(site.told[-1]) == 1
+        assert len(site.reported[-1]) == 1
         for server in site.servers:
             server.silent = False
             server.withdraw(SERVICE, "box1")
@@ -239,25 +243,25 @@
     cache, now = Cache(floor_s=1, stale_s=3600), 0
     browser = Browser("_a._tcp.x.", cache, sd=False)
 
-    class A:
-        rcode, ttl, more = "NOERROR", 5, {("h.x.", "A"): (["10.0.0.1"], 5)}
+    class StaticAnswer:
+        rcode, ttl, additional = "NOERROR", 5, {("h.x.", "A"): (["10.0.0.1"], 5)}
         records = [(0, 0, 9000, "h.x.")]
 
     for name, kind in browser.wants(now):
-        browser.told(name, kind, A, now)
-    assert [b.id for b in browser.view(now).boxes] == ["10.0.0.1:9000"]
+        browser.on_answer(name, kind, StaticAnswer, now)
+    assert [s.id for s in browser.view(now).servers] == ["10.0.0.1:9000"]
     asked = 0
     while now < 3500 * S:
         now += S
         for name, kind in browser.wants(now):
             asked += 1
-            browser.told(name, kind, None, now, "no server answers")
-        assert [b.id for b in browser.view(now).boxes] == ["10.0.0.1:9000"]
+            browser.on_answer(name, kind, None, now, "no server answers")
+        assert [s.id for s in browser.view(now).servers] == ["10.0.0.1:9000"]
     assert browser.view(now).state == "stale" and asked < 4000
     assert browser.view(3700 * S) == ([], "none", [])
 
 
-def test_two_names_for_one_box_and_two_boxes_behind_one_name():
+def test_two_names_for_one_server_and_two_servers_behind_one_name():
     with Site() as site:
         site.announce(1)
         server = site.servers[0]
@@ -265,12 +269,12 @@
         site.announce(3, port=9001)
         server.put("box3." + SERVICE, "SRV", "0 0 9001 h3.site.example.", "0 0 9002 h3.site.example.", ttl=1)
         site.until(lambda rows: len(rows) == 2)
-        one = site.told[-1][0]
+        one = site.reported[-1][0]
         assert one.id == "10.0.0.1:9000" and one.draining  # a drain under either name counts
         assert any("another name" in why for why in site.discovery.refused.values())
 
 
-HOSTILE = [
+INVALID_ATTRIBUTES = [
     ({"role": "king"}, "role"),
     ({"zone": "a\x1b[2J"}, "zone"),
     ({"cell": "x" * 65}, "cell"),
@@ -282,26 +286,26 @@
 ]
 
 
-@pytest.mark.parametrize("words,key", HOSTILE)
-def test_words_of_a_hostile_box_are_refused_with_a_reason(words, key):
+@pytest.mark.parametrize("attributes,key", INVALID_ATTRIBUTES)
+def test_invalid_attributes_are_refused_with_a_reason(attributes, key):
     with pytest.raises(Refused, match=key):
-        box_of("i", "10.0.0.1", 9, [f"{k}={v}".encode() for k, v in words.items()], {})
+        parse_server("i", "10.0.0.1", 9, [f"{k}={v}".encode() for k, v in attributes.items()], {})
 
 
-def test_txt_words():
-    assert words_of((b"Role=read", b"role=write", b"flag", b"=x", b"\xff=1", b"a=b=c")) == {
+def test_txt_attributes():
+    assert parse_txt((b"Role=read", b"role=write", b"flag", b"=x", b"\xff=1", b"a=b=c")) == {
         "role": b"read",
         "flag": b"",
         "a": b"b=c",
     }
     with pytest.raises(Refused):
-        box_of("i", "10.0.0.1", 0, [], {})
+        parse_server("i", "10.0.0.1", 0, [], {})
 
 
-# ---- the gateway finds its boxes by records alone
+# ---- a gateway that finds its servers by DNS alone
 
 
-def test_a_gateway_without_a_list_serves_from_what_records_name_and_stops_when_they_drain():
+def test_a_gateway_without_configured_servers_uses_those_in_dns_until_they_drain():
     loop = Loop(Clock())
     server = NameServer(loop)
     ports = free_ports(3)
@@ -312,20 +316,20 @@
         more=f'dns {{ server: "127.0.0.1:{server.address[1]}" service: "{SERVICE}" gone_ms: 500 }}',
         listed=False,
         ports=ports,
-    ) as place:
-        place.until(lambda: len(place.core.membership.published) == 3)
+    ) as gateway_site:
+        gateway_site.until(lambda: len(gateway_site.core.membership.published) == 3)
         for i in range(6):
-            assert status(RawClient(place, post(chat(text=f"q{i}"))).until()) == 200
-        writer = place.ids[1]
+            assert status(RawClient(gateway_site, post(chat(text=f"q{i}"))).until()) == 200
+        writer = gateway_site.ids[1]
         server.put("b1." + SERVICE, "TXT", '"role=write" "drain=1"', ttl=1)
-        place.until(lambda: place.core.membership.published[writer].mode == "draining")
-        before = len(place.rows("arrive", box=writer))
+        gateway_site.until(lambda: gateway_site.core.membership.published[writer].mode == "draining")
+        before = len(gateway_site.rows("arrive", box=writer))
         for i in range(6):
-            assert status(RawClient(place, post(chat(text=f"r{i}"))).until()) == 200
-        assert len(place.rows("arrive", box=writer)) == before
+            assert status(RawClient(gateway_site, post(chat(text=f"r{i}"))).until()) == 200
+        assert len(gateway_site.rows("arrive", box=writer)) == before
         server.withdraw(SERVICE, "b1")
-        place.until(lambda: writer not in place.core.membership.published)
-        assert status(RawClient(place, post(chat(text="s"))).until()) == 200
+        gateway_site.until(lambda: writer not in gateway_site.core.membership.published)
+        assert status(RawClient(gateway_site, post(chat(text="s"))).until()) == 200
         server.close()
 
 
@@ -338,28 +342,28 @@
     server = NameServer(loop)
     server.box(SERVICE, "b1", "h.site.example.", "127.0.0.1", 9000, role="read")
     server.box(SERVICE, "bad", "h.site.example.", "127.0.0.1", 9001, role="king")
-    over = threading.Event()
+    stopped = threading.Event()
 
     def serve():
-        while not over.is_set():
+        while not stopped.is_set():
             loop.turn(10_000)
 
     thread = threading.Thread(target=serve)
     thread.start()
     try:
-        where = f"127.0.0.1:{server.address[1]}"
+        server_address = f"127.0.0.1:{server.address[1]}"
 
         def run(*args):
             result = CliRunner().invoke(main, ["dns", *args])
             return result.exit_code, result.output
 
-        code, text = run("query", "h.site.example.", "A", "--server", where)
+        code, text = run("query", "h.site.example.", "A", "--server", server_address)
         assert code == 0 and "127.0.0.1" in text
-        code, text = run("browse", SERVICE, "--server", where)
+        code, text = run("browse", SERVICE, "--server", server_address)
         assert code == 0 and "127.0.0.1:9000" in text and "bad" in text and "king" in text
-        assert run("query", "none.example.", "A", "--server", where)[0] == 1
+        assert run("query", "none.example.", "A", "--server", server_address)[0] == 1
         assert run("query", "x", "A", "--server", "nowhere")[0] == 2
     finally:
-        over.set()
+        stopped.set()
         thread.join()
         server.close()
