--- a/lapiswing/cli/dns.py
+++ b/lapiswing/cli/dns.py
@@ -70,7 +70,7 @@
     loop, browser = resolver.loop, Browser(service, Cache(), sd=not srv)
 
     def ask():
-        for name, kind in browser.wants(loop.clock.now_us()):
+        for name, kind in browser.next_queries(loop.clock.now_us()):
             resolver.ask(
                 name,
                 kind,
@@ -81,7 +81,7 @@
             )
 
     ask()
-    loop.run_until(lambda: not browser.asking, 30_000_000)
+    loop.run_until(lambda: not browser.in_flight, 30_000_000)
     view = browser.view(loop.clock.now_us())
     if view.state == "none":
         raise click.ClickException(f"{service}: {browser.problem or 'nothing is known'}")
--- a/lapiswing/dns/browse.py
+++ b/lapiswing/dns/browse.py
@@ -2,7 +2,7 @@
 is given the answers and the time.
 
     browser = Browser("_llm-box._tcp.example.", cache)         # or sd=False: an SRV name without DNS-SD
-    for name, kind in browser.wants(now_us): ask               # `kind` is the record type
+    for name, kind in browser.next_queries(now_us): ask        # `kind` is the record type
     browser.on_answer(name, kind, answer, now_us)              # answer None: no name server answered
     browser.view(now_us)                                       # -> View
 
@@ -117,7 +117,7 @@
     def __init__(self, name, cache, sd=True, defaults=None):
         self.name = name.lower() if name.endswith(".") else name.lower() + "."
         self.cache, self.sd, self.defaults = cache, sd, defaults or {}
-        self.asking, self.retry_at_us, self.problem = set(), {}, None
+        self.in_flight, self.retry_at_us, self.problem = set(), {}, None
 
     def instances(self, now_us):
         if not self.sd:
@@ -138,20 +138,20 @@
                 if not self.cache.get(target, "A", now_us)[0] and self.cache.get(target, "A", now_us)[1] != "none":
                     yield target, "AAAA"
 
-    def wants(self, now_us, max_queries=1 << 30):
+    def next_queries(self, now_us, max_queries=1 << 30):
         """The names and record types to query now, at most `max_queries`."""
         out = []
         for key in dict.fromkeys(self.names(now_us)):
             if len(out) >= max_queries:
                 break
-            if key in self.asking or now_us < self.retry_at_us.get(key, 0) or self.cache.get(*key, now_us)[1] == "fresh":
+            if key in self.in_flight or now_us < self.retry_at_us.get(key, 0) or self.cache.get(*key, now_us)[1] == "fresh":
                 continue
-            self.asking.add(key)
+            self.in_flight.add(key)
             out.append(key)
         return out
 
     def on_answer(self, name, kind, answer, now_us, why=None):
-        self.asking.discard((name, kind))
+        self.in_flight.discard((name, kind))
         if answer is None or answer.rcode not in ("NOERROR", "NXDOMAIN"):
             self.retry_at_us[name, kind] = now_us + RETRY_US
             self.problem = why or (answer.rcode if answer else "no answer")
--- a/lapiswing/membership/discover.py
+++ b/lapiswing/membership/discover.py
@@ -31,7 +31,7 @@
             return
         now = self.loop.clock.now_us()
         self.left, self.left_us = min(float(ASKS_S), self.left + (now - self.left_us) * ASKS_S / 1e6), now
-        for name, kind in browser.wants(now, int(self.left)) if self.left >= 1 else ():
+        for name, kind in browser.next_queries(now, int(self.left)) if self.left >= 1 else ():
             self.left -= 1
             self.resolver.ask(name, kind, lambda answer, why, name=name, kind=kind: self.told(browser, name, kind, answer, why))
 
@@ -45,7 +45,7 @@
 
     def see(self, source, browser):
         now = self.loop.clock.now_us()
-        if browser.asking and source not in self.last and now - self.start_us < FIRST_US:
+        if browser.in_flight and source not in self.last and now - self.start_us < FIRST_US:
             return
         view = browser.view(now)
         if view.state == "none" and source not in self.last:
--- a/tests/test_dns.py
+++ b/tests/test_dns.py
@@ -247,13 +247,13 @@
         rcode, ttl, additional = "NOERROR", 5, {("h.x.", "A"): (["10.0.0.1"], 5)}
         records = [(0, 0, 9000, "h.x.")]
 
-    for name, kind in browser.wants(now):
+    for name, kind in browser.next_queries(now):
         browser.on_answer(name, kind, StaticAnswer, now)
     assert [s.id for s in browser.view(now).servers] == ["10.0.0.1:9000"]
     asked = 0
     while now < 3500 * S:
         now += S
-        for name, kind in browser.wants(now):
+        for name, kind in browser.next_queries(now):
             asked += 1
             browser.on_answer(name, kind, None, now, "no server answers")
         assert [s.id for s in browser.view(now).servers] == ["10.0.0.1:9000"]
