--- a/lapiswing/dns/browse.py
+++ b/lapiswing/dns/browse.py
@@ -64,6 +64,7 @@
 
 
 def text_value(attributes, key):
+    """-> the value as text, empty if absent. Raises Refused: too long, not UTF-8, or unprintable."""
     raw = attributes.get(key, b"")
     if len(raw) > MAX_TEXT_BYTES:
         raise Refused(f"{key}: {len(raw)} bytes")
@@ -77,6 +78,7 @@
 
 
 def number_value(attributes, key, kind, low, high, default):
+    """-> the value as `kind` (int or float) within `low` and `high`, or `default` if absent. Raises Refused."""
     text = text_value(attributes, key)
     if not text:
         return default
--- a/lapiswing/fleet/link.py
+++ b/lapiswing/fleet/link.py
@@ -38,6 +38,7 @@
 
 
 def name_of(identity):
+    """-> the gateway's name in an identity NAME#SUFFIX."""
     return identity.partition("#")[0]
 
 
@@ -210,6 +211,7 @@
         return out
 
     def send_updates(self):
+        """Sends updates of members and rows to a few random members, while there are any."""
         for member in self.members.sample(FANOUT):
             if not (self.row_updates or self.members.has_updates()):
                 return
@@ -247,6 +249,7 @@
             self.request_token(lost_addresses[int(self.random() * len(lost_addresses))])
 
     def members_digest(self):
+        """-> a digest of all members, independent of their order."""
         total = xxhash.xxh64_intdigest(f"{self.id}/{self.members.own.incarnation}/{self.members.own.state}")
         for m in self.members.all.values():
             total ^= xxhash.xxh64_intdigest(f"{m.id}/{m.incarnation}/{m.state}")
@@ -264,11 +267,13 @@
         self.request_token(address, member, message)
 
     def transmit(self, address, data):
+        """Counts and sends a sealed message."""
         self.counts["out"] += 1
         self.counts["bytes out"] += len(data)
         self.send(address, data)
 
     def request_token(self, address, member="", message=None):
+        """Sends a hello, and queues the message for `member` until the token arrives."""
         entry = self.pending.get(address)
         if entry is None:
             if len(self.pending) >= MAX_PENDING_ADDRESSES:
@@ -285,6 +290,7 @@
             self.transmit(address, self.seal.seal("", Hello(entry[0])))
 
     def may_reply(self):
+        """Limits replies to messages without a valid token to MAX_REPLIES_PER_S."""
         self.reply_allowance = min(
             MAX_REPLIES_PER_S, self.reply_allowance + (self.now_us - self.reply_allowance_us) * MAX_REPLIES_PER_S / 1e6
         )
--- a/lapiswing/fleet/members.py
+++ b/lapiswing/fleet/members.py
@@ -317,7 +317,7 @@
         if indirect_probers is None:
             return
         if nacks < indirect_probers:
-            self.degrade_local_health()  # not even the indirect probers were all heard from
+            self.degrade_local_health()  # some indirect probers did not reply either
         if name in self.all:
             self.suspect(self.all[name], now_us)
 
--- a/lapiswing/fleet/messages.py
+++ b/lapiswing/fleet/messages.py
@@ -153,4 +153,5 @@
 
 
 def encode(value):
+    """-> a message, member or row as msgpack."""
     return ENCODER.encode(value)
--- a/lapiswing/fleet/rows.py
+++ b/lapiswing/fleet/rows.py
@@ -17,6 +17,7 @@
 
 
 def bucket_of(writer, key):
+    """-> the bucket in which a row is compared, 0 to BUCKETS - 1."""
     return xxhash.xxh32_intdigest(f"{writer}/{key}") % BUCKETS
 
 
