--- a/lapiswing/cli/dns.py
+++ b/lapiswing/cli/dns.py
@@ -70,19 +70,22 @@
     loop, browser = resolver.loop, Browser(service, Cache(), sd=not srv)
 
     def ask():
-        for name, kind in browser.wants(loop.clock.now_us()):
+        for name, kind in browser.next_queries(loop.clock.now_us()):
             resolver.ask(
                 name,
                 kind,
-                lambda answer, why, name=name, kind=kind: (browser.told(name, kind, answer, loop.clock.now_us(), why), ask()),
+                lambda answer, why, name=name, kind=kind: (
+                    browser.on_answer(name, kind, answer, loop.clock.now_us(), why),
+                    ask(),
+                ),
             )
 
     ask()
-    loop.run_until(lambda: not browser.asking, 30_000_000)
+    loop.run_until(lambda: not browser.in_flight, 30_000_000)
     view = browser.view(loop.clock.now_us())
     if view.state == "none":
         raise click.ClickException(f"{service}: {browser.problem or 'nothing is known'}")
-    rows = [b._asdict() for b in view.boxes]
+    rows = [b._asdict() for b in view.servers]
     if as_json:
         return click.echo(json.dumps({"boxes": rows, "refused": view.refused}))
     tell(
--- a/lapiswing/lab/fleetdays.py
+++ b/lapiswing/lab/fleetdays.py
@@ -177,7 +177,7 @@
                 ),
                 default=0,
             )
-            if newest > link.rows.version:
+            if newest > link.rows.own_version:
                 self.faults.append(f"gw-{node.index} continues as {link.id} with an older version than a majority has seen")
 
 
--- a/lapiswing/membership/discover.py
+++ b/lapiswing/membership/discover.py
@@ -31,30 +31,30 @@
             return
         now = self.loop.clock.now_us()
         self.left, self.left_us = min(float(ASKS_S), self.left + (now - self.left_us) * ASKS_S / 1e6), now
-        for name, kind in browser.wants(now, int(self.left)) if self.left >= 1 else ():
+        for name, kind in browser.next_queries(now, int(self.left)) if self.left >= 1 else ():
             self.left -= 1
             self.resolver.ask(name, kind, lambda answer, why, name=name, kind=kind: self.told(browser, name, kind, answer, why))
 
     def told(self, browser, name, kind, answer, why):
         if not self.closed:
-            browser.told(name, kind, answer, self.loop.clock.now_us(), why)
+            browser.on_answer(name, kind, answer, self.loop.clock.now_us(), why)
             if browser not in self.soon:  # an instance leads to its records, these to addresses
                 self.soon.add(browser)
                 # With many names a look over all of them costs: it is taken less often then.
-                self.loop.call_later(SOON_US + 50 * len(browser.cache.known), self.ask, browser)
+                self.loop.call_later(SOON_US + 50 * len(browser.cache.entries), self.ask, browser)
 
     def see(self, source, browser):
         now = self.loop.clock.now_us()
-        if browser.asking and source not in self.last and now - self.start_us < FIRST_US:
+        if browser.in_flight and source not in self.last and now - self.start_us < FIRST_US:
             return
         view = browser.view(now)
         if view.state == "none" and source not in self.last:
             return
         if view.state != self.states.get(source):
             self.states[source] = view.state
-            self.log.info("records", source=source, state=view.state, boxes=len(view.boxes), why=browser.problem)
+            self.log.info("records", source=source, state=view.state, boxes=len(view.servers), why=browser.problem)
         rows, refused = [], list(view.refused)
-        for found in view.boxes:
+        for found in view.servers:
             try:
                 rows.append(self.row_of(found))
             except ValueError as problem:
