--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from lapiswing.engine.forward import Exchanged
+from lapiswing.engine.attempt import HttpAttempt
 from lapiswing.http1.wire import get
 from lapiswing.node import release_targets
 from lapiswing.node.names import DEADLINE, DECLINED, HEALTH_PATH, ID, IDEMPOTENCY_KEY, LOAD, LOAD_COMMENT, LOAD_PATH, ROOMS_PATH
@@ -288,7 +288,7 @@
     def record_silence(self, server):
         self.release_targets.record_silence(server, self.loop.clock.now_us())
 
-    def name(self, gateway, rid, number=None):
+    def state_name(self, gateway, rid, number=None):
         return rid.encode()
 
     def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
@@ -313,7 +313,7 @@
     def release(self, server, name):
         Release(self, server, name)
 
-    def hold(self, server, name, tokens, done):
+    def hold_place(self, server, name, tokens, done):
         if server not in self.addresses:
             return self.loop.soon(done, False)
 
--- a/tests/test_concurrent_list_change.py
+++ b/tests/test_concurrent_list_change.py
@@ -25,24 +25,24 @@
         leaving = [s for s in harness.platform.servers.values() if s.role == role][leaver]
         name = leaving.name
         if then == "at arrival":
-            take = harness.core.ask
+            take = harness.core.enqueue
 
             def ask(req, bits):
-                harness.core.ask = take
+                harness.core.enqueue = take
                 take(req, bits)
                 take_list_without(harness, leaving)
 
-            harness.core.ask = ask
+            harness.core.enqueue = ask
         else:
-            outcome = harness.core.outcome
+            outcome = harness.core.attempt_ended
 
             def ended(req, rid, number, out, code, remark, report):
                 outcome(req, rid, number, out, code, remark, report)
                 if code == "read":
-                    harness.core.outcome = outcome
+                    harness.core.attempt_ended = outcome
                     take_list_without(harness, leaving)
 
-            harness.core.outcome = ended
+            harness.core.attempt_ended = ended
         client = harness.ask("r1")
         harness.until(lambda: client.status)
         assert client.status == 200 and name not in harness.node.server_list.rows
@@ -58,17 +58,17 @@
 def test_a_fault_in_the_decisions_loses_no_news_behind_it(tmp_path):
     with PlatformHarness(tmp_path, ("read", "read", "write")) as harness:
         leaving = next(iter(harness.platform.servers.values()))
-        take, on_req = harness.core.ask, harness.core.router.on_req
+        take, on_req = harness.core.enqueue, harness.core.router.on_req
 
         def ask(req, bits):
             take(req, bits)
             take_list_without(harness, leaving)
 
         def fail(*fields):
-            harness.core.ask, harness.core.router.on_req = take, on_req
+            harness.core.enqueue, harness.core.router.on_req = take, on_req
             raise ZeroDivisionError("a fault")
 
-        harness.core.ask, harness.core.router.on_req = ask, fail
+        harness.core.enqueue, harness.core.router.on_req = ask, fail
         client = harness.ask("r1", Req_Deadline="0.300")
         harness.until(lambda: harness.core.counts["faults"])
         assert leaving.name not in harness.core.router.table.rows.index_of
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -131,7 +131,7 @@
         (server,) = harness.platform.servers.values()
         server.fault = lambda exchange: exchange.method == b"POST"  # takes it and says nothing
         client = harness.ask("a1", Req_Deadline="0.300")
-        harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].outs)
+        harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].attempts)
         (request,) = harness.core.reqs.values()
         while harness.loop.clock.now_us() < request.expires_us:
             pass  # the machine is busy elsewhere, for the rest of its time
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -195,7 +195,7 @@
         harness.until(lambda: harness.platform.discovery.waiting)
         ports = Ports(monkeypatch, errno.EADDRNOTAVAIL)
         client = harness.ask("a1")
-        harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].outs)
+        harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].attempts)
         new = harness.platform.add("both")
         old.status = "DRAINING"
         harness.platform.discovery.tell(old.row(), new.row())
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -10,7 +10,7 @@
 
 
 class Call:
-    rid, over, begun, expires_us = "a1", False, None, 10_000 * MS
+    rid, over, answering_no, expires_us = "a1", False, None, 10_000 * MS
 
 
 def guards(effect="replayable", scope="all", second_copies=True):
@@ -41,7 +41,7 @@
     assert may(g, now_ms=1300)
 
 
-@pytest.mark.parametrize("change", [{"over": True}, {"begun": 0}, {"expires_us": 50 * MS}])
+@pytest.mark.parametrize("change", [{"over": True}, {"answering_no": 0}, {"expires_us": 50 * MS}])
 def test_nothing_starts_for_a_call_that_wants_nothing_any_more(change):
     g = guards()
     assert not may(g, type("Ended", (Call,), change)) and g.counts[Check.STARTING] == 1
@@ -108,7 +108,7 @@
         server.fault = lambda exchange: exchange.method == b"POST"
         client = harness.ask("a1")
         harness.until(lambda: harness.core.reqs)
-        harness.core.guards.closed(harness.core.reqs.values())
+        harness.core.guards.check_closed(harness.core.reqs.values())
         assert harness.core.guards.counts[Check.CLOSING] == 1
         client.close()
         harness.wait_settled()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -161,7 +161,7 @@
         harness.until(lambda: harness.node.server.connections)
         near = list(rows.rows.values())
         rows.rows |= {f"x-{i}": Row(f"x-{i}", 0, 0, 2, 1.0, 0, "draining") for i in range(1022)}
-        taken = harness.core.take
+        taken = harness.core.submit
 
         def take(spec, listener):  # the list and the request are in one turn; the client goes while it is worked in
             req = taken(spec, listener)
@@ -176,7 +176,7 @@
             harness.core.events.insert(0, harness.core.events.pop())
             return req
 
-        harness.core.take = take
+        harness.core.submit = take
         harness.until(lambda: len(harness.core.router.servers) == 1024)
         harness.loop.run_until(lambda: False, 220 * MS)
         assert not attempts(harness) and near
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -565,7 +565,7 @@
         client = harness.ask("a1")
         harness.until(lambda: reader.seen)
         told = []
-        harness.core.place, real = lambda *args: (told.append(args[-1]), real(*args)), harness.core.place
+        harness.core.place_answered, real = lambda *args: (told.append(args[-1]), real(*args)), harness.core.place_answered
         harness.core.hold_place("a1", writer.name)
         harness.until(lambda: told)
         assert told == [held] and (harness.core.reqs["a1"].left is not None) == left
@@ -604,7 +604,7 @@
         harness.wait_settled()
         harness.until(lambda: not harness.node.server.connections)
         router = core.router
-        assert len(router.servers) <= 3 and len(core.kinds) <= 3 and len(core.tally.boxes) <= 3
+        assert len(router.servers) <= 3 and len(core.kinds) <= 3 and len(core.tally.servers) <= 3
         assert max(router.table.pairs.shape) <= 3 and len(router.served) <= 3 and not router.reqs and not core.ended
         assert len(harness.node.pool.count) <= 2 and len(harness.node.pool.all) <= 2 * harness.node.pool.max_idle_per_address
         assert len(harness.loop.watched) < 40 and len([t for t in harness.loop.timers if t[2].call is not None]) < 20
