--- a/lapiswing/node/serve.py
+++ b/lapiswing/node/serve.py
@@ -248,7 +248,7 @@
     def on_list_change(self):
         """Passes the current list on to the servers' client and the core."""
         self.servers.set_servers(self.server_list.addresses, {name: row.zone for name, row in self.server_list.rows.items()})
-        self.core.list_boxes(list(self.server_list.rows.values()))
+        self.core.update_servers(list(self.server_list.rows.values()))
 
     # ---- signals
 
--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -35,7 +35,7 @@
         return self
 
 
-class ServerAttempt(Exchanged):
+class ServerAttempt(HttpAttempt):
     """One attempt in flight: the request as sent to one server."""
 
     def __init__(self, servers, owner, server, name):
@@ -269,7 +269,7 @@
 class Servers:
     """The model servers of the current list, as the core sees them."""
 
-    by_req = True  # servers name what they hold after the request
+    states_named_by_req = True  # servers name what they hold after the request
 
     def __init__(self, loop, pool, load_names, reports, targets, release_us=None):
         """`reports`: whether servers report their load. `targets`: a ReleaseTargets. `release_us`: time for a release."""
@@ -291,7 +291,7 @@
     def state_name(self, gateway, rid, number=None):
         return rid.encode()
 
-    def forward(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
+    def start_attempt(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
         attempt = ServerAttempt(self, owner, server, name)
         fields = [(ID, raw.rid), (b"content-type", b"application/json")]
         if raw.key is not None:
--- a/lapiswing/node/view.py
+++ b/lapiswing/node/view.py
@@ -10,7 +10,7 @@
             if attempt[3]:
                 believed[attempt[0].id] = believed.get(attempt[0].id, 0) + 1
     for req in core.reqs.values():
-        for attempt in req.outs.values():
+        for attempt in req.attempts.values():
             out[attempt.server] = out.get(attempt.server, 0) + 1
     busy, idle = {}, {}
     for conn in pool.all:
