--- a/lapiswing/http1/client.py
+++ b/lapiswing/http1/client.py
@@ -1,30 +1,30 @@
-"""The client side: a bounded pool of kept connections for each address."""
+"""The client side: a bounded pool of keep-alive connections for each address."""
 
 from collections import deque
 
 import httptools
 
-from lapiswing.http1.wire import STATUS_LINE, Bad, check_framing, request_head, split_head, tokens
+from lapiswing.http1.wire import STATUS_LINE, ProtocolError, check_framing, request_head, split_head, tokens
 from lapiswing.loop import NO_DESCRIPTOR, connect
 
-HEAD_BYTES = 65536
-COMMON_US = 60_000  # of failing at once: three tries
+HEAD_BYTES = 65536  # limit of an answer's head
+WIDESPREAD_AFTER_US = 60_000  # long enough for three attempts to connect
 
 
 class ClientExchange:
-    """One request to a server. The handler is told, in this order and nothing after `on_end` or `on_fail`:
+    """One request to a server. The handler is called in this order, and not again after `on_end` or `on_fail`:
         on_head(status, fields)   on_body(bytes)...   on_end()
-        on_fail(stage, why)       instead of whatever is still missing
-    Stages: 'local' (no descriptor left here), 'no route' (this machine could open no connection, to this address at least:
-    ports, memory, routes), 'connect' (no connection), 'unsent' (the connection went before the last byte of the request
-    was given to the kernel), 'sent' (after it, no byte of an answer), 'head' (within the answer's head), 'body'.
-    After `cancel()` the handler hears nothing more."""
-
-    def __init__(self, pool, address, head, body, handler):
-        """`head()` makes the head, as it is written."""
+        on_fail(stage, why)       in place of the calls that are still missing
+    Stages: 'local' (this process has no descriptor left), 'no route' (this machine could not open a connection, at least to
+    this address: ports, memory, routes), 'connect' (no connection), 'unsent' (the connection closed before the last byte of
+    the request was given to the kernel), 'sent' (after that, before any byte of an answer), 'head' (within the answer's head),
+    'body' (within its body). After `cancel()` the handler is not called any more."""
+
+    def __init__(self, pool, address, make_head, body, handler):
+        """`make_head()` returns the head's bytes; called when the request is written."""
         self.pool, self.address, self.handler = pool, address, handler
-        self.head, self.body, self.size = head, body, 0
-        self.connect_us = self.wait_us = pool.connect_us
+        self.make_head, self.body, self.size = make_head, body, 0
+        self.connect_us = self.local_retry_us = pool.connect_us
         self.conn = self.connecting = None
         self.over = self.got_head = False
 
@@ -34,12 +34,12 @@
         self.over = True
         if self.connecting is not None:
             self.connecting.cancel()
-            self.pool.stuck.ended(self.connecting)
-            self.pool.dropped(self.address)
+            self.pool.local_failures.attempt_ended(self.connecting)
+            self.pool.release_slot(self.address)
         elif self.conn is not None:
             self.conn.stream.abort()
         else:
-            self.pool.forget(self)
+            self.pool.remove_queued(self)
 
     def pause(self):
         if self.conn is not None and not self.over:
@@ -51,119 +51,127 @@
 
     @property
     def unsent(self):
-        """Whether the kernel has not got all of the request yet: given up now, it is proved never to have run."""
+        """Whether the kernel has not got the whole request yet. If the exchange ends now the server can't have run it."""
         return not self.over and (self.conn is None or self.conn.stream.sent - self.conn.sent_before < self.size)
 
     @property
     def in_chunk(self):
-        """Whether a chunk has begun and not ended: its rest should be on the way."""
+        """Whether a chunk has begun and not ended, so that more bytes are due."""
         return self.conn is not None and self.conn.in_chunk
 
     def fail(self, stage, why):
+        """Ends the exchange with an error."""
         if not self.over:
             self.over = True
             self.handler.on_fail(stage, why)
 
 
 class ClientConnection:
+    """Owner of one stream to a server. Serves one exchange at a time."""
+
     def __init__(self, pool, address, stream):
         self.pool, self.address, self.stream = pool, address, stream
         self.exchange, self.idle_us = None, 0
         stream.owner = self
 
     def start(self, exchange):
+        """Writes the exchange's request."""
         self.exchange, exchange.conn = exchange, self
-        self.raw, self.parser, self.left, self.done, self.keep = bytearray(), None, None, False, True
+        self.buffer, self.parser, self.body_left, self.complete, self.reusable = bytearray(), None, None, False, True
         self.in_chunk = False
         self.sent_before = self.stream.sent
-        head, body = exchange.head(), exchange.body
+        head, body = exchange.make_head(), exchange.body
         exchange.size = len(head) + len(body)
-        exchange.head = exchange.body = None
+        exchange.make_head = exchange.body = None
         self.stream.write(head)
         self.stream.write(body)
 
     def on_data(self, data):
         exchange = self.exchange
         if exchange is None:
-            return self.stream.abort()  # bytes that nobody asked for
+            return self.stream.abort()  # bytes without a request
         try:
             if not exchange.got_head:
-                self.raw += data
-                data = self.head()
+                self.buffer += data
+                data = self.parse_head()
                 if data is None:
                     return
             if data and not exchange.over:
-                self.body(data)
-        except (Bad, httptools.HttpParserError) as problem:
-            if self.done and not exchange.over:  # the answer is whole; what stands behind it is nobody's
-                self.keep = False
+                self.take_body(data)
+        except (ProtocolError, httptools.HttpParserError) as problem:
+            if self.complete and not exchange.over:  # the answer is complete; what follows belongs to no request
+                self.reusable = False
                 return self.finish()
-            exchange.fail("body" if exchange.got_head else "head", f"garbage: {problem}")
+            exchange.fail("body" if exchange.got_head else "head", f"invalid answer: {problem}")
             return self.stream.abort()
-        if self.done and not exchange.over:
+        if self.complete and not exchange.over:
             self.finish()
 
-    def head(self):
+    def parse_head(self):
+        """-> the bytes after the head, None while the head is incomplete. Raises ProtocolError."""
         while True:
-            end = self.raw.find(b"\r\n\r\n")
-            if end > HEAD_BYTES or end < 0 and len(self.raw) > HEAD_BYTES:
-                raise Bad("the head is too long")
+            end = self.buffer.find(b"\r\n\r\n")
+            if end > HEAD_BYTES or end < 0 and len(self.buffer) > HEAD_BYTES:
+                raise ProtocolError("the head is too long")
             if end < 0:
-                # Not the start of an answer: no need to wait for 64 KB of it.
-                if not (b"HTTP/1."[: len(self.raw)] == self.raw[:7]):
-                    raise Bad("not an HTTP answer")
+                # Fails early on what can't become a status line, instead of collecting 64 KB of it.
+                if not (b"HTTP/1."[: len(self.buffer)] == self.buffer[:7]):
+                    raise ProtocolError("not an HTTP answer")
                 return None
-            line, fields = split_head(bytes(self.raw[:end]), STATUS_LINE)
-            rest = bytes(self.raw[end + 4 :])
+            line, fields = split_head(bytes(self.buffer[:end]), STATUS_LINE)
+            rest = bytes(self.buffer[end + 4 :])
             status = int(line[9:12])
             if 100 <= status < 200 and status != 101:
-                self.raw = bytearray(rest)
+                self.buffer = bytearray(rest)
                 continue
             break
-        self.raw = bytearray()
+        self.buffer = bytearray()
         length = check_framing(fields, False)
         if line[5:8] != b"1.1" or b"close" in tokens(fields, b"connection"):
-            self.keep = False
+            self.reusable = False
         if status in (204, 304):
             length = 0
         if length == "chunked":
             self.parser = httptools.HttpResponseParser(self)
             self.parser.feed_data(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         elif length is None:
-            self.keep = False
-        self.left = length if isinstance(length, int) else None
+            self.reusable = False
+        self.body_left = length if isinstance(length, int) else None
         self.exchange.got_head = True
-        self.done = self.left == 0
-        if self.done and rest:
-            self.keep, rest = False, b""
+        self.complete = self.body_left == 0
+        if self.complete and rest:
+            self.reusable, rest = False, b""
         self.exchange.handler.on_head(status, fields)
         return rest
 
-    def body(self, data):
+    def take_body(self, data):
+        """Passes the body's bytes in `data` to the handler."""
         exchange = self.exchange
         if self.parser is not None:
             self.parts = []
             try:
                 self.parser.feed_data(data)
             except httptools.HttpParserError:
-                if not self.done:
+                if not self.complete:
                     raise
-                self.keep = False
-            # Not from within the parser: the handler may cancel, and a parser must not be left in mid-call.
+                self.reusable = False
+            # Not from within a parser callback: the handler may cancel, which must not happen in the middle of feed_data.
             parts = self.parts
             if parts:
                 exchange.handler.on_body(parts[0] if len(parts) == 1 else b"".join(parts))
-        elif self.left is not None:
-            if len(data) > self.left:
-                data, self.keep = data[: self.left], False
-            self.left -= len(data)
-            self.done = self.left == 0
+        elif self.body_left is not None:
+            if len(data) > self.body_left:
+                data, self.reusable = data[: self.body_left], False
+            self.body_left -= len(data)
+            self.complete = self.body_left == 0
             exchange.handler.on_body(data)
         else:
             exchange.handler.on_body(data)
 
+    # ---- callbacks of the parser
+
     def on_body(self, data):
-        if not self.done:
+        if not self.complete:
             self.parts.append(data)
 
     def on_chunk_header(self):
@@ -173,88 +181,94 @@
         self.in_chunk = False
 
     def on_message_begin(self):
-        # Guards against a second answer right behind the first: its bytes are not the first one's.
-        if self.done:
-            self.keep = False
+        # A second answer right behind the first: its bytes must not be taken for the first one's.
+        if self.complete:
+            self.reusable = False
 
     def on_message_complete(self):
-        self.done = True
+        self.complete = True
+
+    # ----
 
     def finish(self):
+        """The answer is complete."""
         exchange, self.exchange, self.parser = self.exchange, None, None
         exchange.over = True
-        self.pool.free(self)
+        self.pool.reuse(self)
         exchange.handler.on_end()
 
     def on_eof(self):
         exchange = self.exchange
-        if exchange is not None and exchange.got_head and self.left is None and self.parser is None:
-            self.keep = False
+        if exchange is not None and exchange.got_head and self.body_left is None and self.parser is None:
+            self.reusable = False
             self.stream.close()
             return self.finish()
-        self.lost = "closed by the server"
+        self.close_reason = "closed by the server"
         self.stream.abort()
 
-    lost = None
+    close_reason = None
 
     def on_closed(self, why):
-        self.pool.gone(self)
+        self.pool.connection_closed(self)
         exchange, self.exchange, self.parser = self.exchange, None, None
         if exchange is None or exchange.over:
             return
         if exchange.got_head:
             stage = "body"
-        elif self.raw:
+        elif self.buffer:
             stage = "head"
         elif self.stream.sent - self.sent_before < exchange.size:
             stage = "unsent"
         else:
             stage = "sent"
-        exchange.fail(stage, why or self.lost or "ended by a fault here")
+        exchange.fail(stage, why or self.close_reason or "ended by an internal error")
 
     def on_drained(self):
         pass
 
 
-class Stuck:
-    """Attempts to connect that fail at once for reasons of this machine. `on_change(bool)` is told whether that is common:
-    none has come up for a while."""
+class LocalFailures:
+    """Tracks attempts to connect that fail at once for reasons of this machine. `on_change(bool)` is called when that becomes
+    or stops being widespread: attempts keep failing and no connection has been established for a while."""
 
     def __init__(self):
-        self.attempts, self.failed = set(), set()  # failed: addresses, since a connection came up last
-        self.opened_us, self.told, self.on_change = 0, False, None
+        self.attempts, self.failed_addresses = set(), set()  # addresses that failed since the last established connection
+        self.connected_us, self.widespread, self.on_change = 0, False, None
 
-    def common(self, attempt):
-        """One fails again. -> whether others do too, elsewhere, and none has come up since it began."""
+    def record_failure(self, attempt):
+        """An attempt has failed again. -> whether other addresses fail too and nothing has connected since it started."""
         now_us = attempt.loop.clock.now_us()
         self.attempts.add(attempt)
-        self.failed.add(attempt.address)
-        if self.opened_us > attempt.begun_us:
+        self.failed_addresses.add(attempt.address)
+        if self.connected_us > attempt.started_us:
             return False
-        if now_us - attempt.begun_us >= COMMON_US:
-            self.tell(True)
-        return len(self.failed) > 1
+        if now_us - attempt.started_us >= WIDESPREAD_AFTER_US:
+            self.set_widespread(True)
+        return len(self.failed_addresses) > 1
 
-    def ended(self, attempt):
+    def attempt_ended(self, attempt):
+        """The attempt has connected, failed for good or been cancelled."""
         self.attempts.discard(attempt)
         if not self.attempts:
-            self.tell(False)
-
-    def opened(self, now_us):
-        self.opened_us = now_us
-        self.failed.clear()
-        self.tell(False)
-
-    def tell(self, common):
-        if common != self.told:
-            self.told = common
+            self.set_widespread(False)
+
+    def connected(self, now_us):
+        """A connection has been established."""
+        self.connected_us = now_us
+        self.failed_addresses.clear()
+        self.set_widespread(False)
+
+    def set_widespread(self, widespread):
+        """Calls `on_change` if the state differs."""
+        if widespread != self.widespread:
+            self.widespread = widespread
             if self.on_change is not None:
-                self.on_change(common)
+                self.on_change(widespread)
 
 
 class Pool:
-    """Connections to servers: at most `most` for an address, of which `kept` may wait idle for `idle_us`. What
-    comes while all are taken waits in line; its handler's own time-out bounds that."""
+    """Keep-alive connections to servers: at most `max_per_address` for an address, of which `max_idle_per_address` may be idle,
+    for `idle_us` at most. While all are in use further requests are queued; the handler's own time-out limits their wait."""
 
     def __init__(
         self,
@@ -266,8 +280,9 @@
         settle_us=0,
         max_total=None,
     ):
-        """`settle_us`: how long a connection rests after an answer, so that bytes that come behind it are seen before
-        they could be taken for the next one's. `max_total`: of all addresses together; idle ones make room."""
+        """`settle_us`: how long a connection rests after an answer before it is reused, so that stray bytes behind the answer
+        are noticed and not taken for the next one's. `max_total`: limit over all addresses; idle connections are closed to
+        stay within it."""
         self.loop, self.max_per_address, self.max_idle_per_address, self.idle_us, self.connect_us = (
             loop,
             max_per_address,
@@ -276,46 +291,46 @@
             connect_us,
         )
         self.settle_us, self.max_total = settle_us, max_total
-        self.idle, self.count, self.line, self.all = {}, {}, {}, set()
+        self.idle, self.open_count, self.queues, self.all = {}, {}, {}, set()
         self.opened = self.reused = 0
-        self.stuck = Stuck()
+        self.local_failures = LocalFailures()
         self.sweep_timer = loop.call_later(1_000_000, self.sweep)
 
-    def request(self, address, method, target, fields, body, handler, fresh=False, up_us=None, late_fields=None):
-        """`address` is (host, port), or a Unix socket's path. With `fresh` no kept connection is used: the answer to a request on a kept one
-        that the server closes in the same instant is lost, though it may have run. `up_us`: less time for a new connection
-        than usual; while this machine can make none, it is waited for as long. `late_fields()`: further fields, asked for
-        as the head is written, which a new connection may delay."""
+    def request(self, address, method, target, fields, body, handler, fresh=False, connect_budget_us=None, make_late_fields=None):
+        """`address` is (host, port) or the path of a Unix socket. `fresh`: use a new connection, because a request on a reused
+        one that the server closes at the same moment is lost, though it may have run. `connect_budget_us`: time for a new
+        connection if less than usual; local failures are also retried for this long. `make_late_fields()`: further header
+        fields, evaluated when the head is written, which connecting may delay."""
         host = b"localhost" if isinstance(address, str) else b"%b:%d" % (address[0].encode(), address[1])
         fields = [(b"host", host), *fields]
         if body or method == b"POST":
             fields.append((b"content-length", b"%d" % len(body)))
 
-        def head():
-            return request_head(method, target, [*fields, *(late_fields() if late_fields is not None else ())])
+        def make_head():
+            return request_head(method, target, [*fields, *(make_late_fields() if make_late_fields is not None else ())])
 
-        exchange = ClientExchange(self, address, head, body, handler)
-        if up_us is not None:
-            exchange.connect_us, exchange.wait_us = min(self.connect_us, up_us), up_us
-        conn = None if fresh else self.rested(address)
+        exchange = ClientExchange(self, address, make_head, body, handler)
+        if connect_budget_us is not None:
+            exchange.connect_us, exchange.local_retry_us = min(self.connect_us, connect_budget_us), connect_budget_us
+        conn = None if fresh else self.take_idle(address)
         if conn is not None:
             self.reused += 1
             conn.start(exchange)
             return exchange
-        if self.count.get(address, 0) >= self.max_per_address:
-            self.line.setdefault(address, deque()).append(exchange)
+        if self.open_count.get(address, 0) >= self.max_per_address:
+            self.queues.setdefault(address, deque()).append(exchange)
         else:
-            self.open(exchange)
+            self.open_connection(exchange)
         return exchange
 
-    def rested(self, address):
-        """A kept connection that nothing has come in on, the latest used first."""
+    def take_idle(self, address):
+        """-> the idle connection that was used last and has received nothing since, or None."""
         idle = self.idle.get(address, ())
-        for at in range(len(idle) - 1, -1, -1):
-            conn = idle[at]
+        for index in range(len(idle) - 1, -1, -1):
+            conn = idle[index]
             if self.loop.now - conn.idle_us < self.settle_us:
                 continue
-            del idle[at]
+            del idle[index]
             if conn.stream.closed:
                 continue
             if self.settle_us and conn.stream.pending():
@@ -324,78 +339,90 @@
             return conn
         return None
 
-    def make_room(self):
-        """Closes the connection that has been idle for longest. -> whether one was."""
-        oldest = min((c for idle in self.idle.values() for c in idle), key=lambda c: c.idle_us, default=None)
+    def close_oldest_idle(self):
+        """Closes the connection that has been idle the longest. -> whether there was one."""
+        oldest = min((conn for idle in self.idle.values() for conn in idle), key=lambda conn: conn.idle_us, default=None)
         if oldest is not None:
             oldest.stream.close()
         return oldest is not None
 
-    def open(self, exchange):
+    def open_connection(self, exchange):
+        """Connects for an exchange."""
         address = exchange.address
-        if self.max_total is not None and sum(self.count.values()) >= self.max_total and not self.make_room():
-            # Guards what else needs descriptors here. Told at once, as what waits in line may hold a server's state.
+        if self.max_total is not None and sum(self.open_count.values()) >= self.max_total and not self.close_oldest_idle():
+            # Leaves descriptors for other uses. Fails at once, as a queued request may hold a server's state.
             return self.loop.soon(exchange.fail, "local", NO_DESCRIPTOR)
-        self.count[address] = self.count.get(address, 0) + 1
+        self.open_count[address] = self.open_count.get(address, 0) + 1
 
         def done(stream, why):
             exchange.connecting = None
-            self.stuck.ended(attempt)
+            self.local_failures.attempt_ended(attempt)
             if stream is None:
-                self.dropped(address)
-                exchange.fail("local" if why is NO_DESCRIPTOR else "no route" if attempt.own else "connect", why)
+                self.release_slot(address)
+                exchange.fail("local" if why is NO_DESCRIPTOR else "no route" if attempt.failed_locally else "connect", why)
                 return
             self.opened += 1
-            self.stuck.opened(self.loop.now)
+            self.local_failures.connected(self.loop.now)
             conn = ClientConnection(self, address, stream)
             self.all.add(conn)
             conn.start(exchange)
 
         attempt = exchange.connecting = connect(
-            self.loop, address, exchange.connect_us, done, wait_us=exchange.wait_us, common=self.stuck.common
+            self.loop,
+            address,
+            exchange.connect_us,
+            done,
+            local_retry_us=exchange.local_retry_us,
+            is_widespread=self.local_failures.record_failure,
         )
 
-    def dropped(self, address):
-        self.count[address] -= 1
-        self.next(address)
-        if not self.count[address]:
-            del self.count[address]
-
-    def next(self, address):
-        line = self.line.get(address)
-        while line and self.count.get(address, 0) < self.max_per_address:
-            self.open(line.popleft())
-        if not line:
-            self.line.pop(address, None)
-
-    def forget(self, exchange):
-        line = self.line.get(exchange.address)
-        if line and exchange in line:
-            line.remove(exchange)
-
-    def free(self, conn):
+    def release_slot(self, address):
+        """One connection or attempt less: its place is free for a queued request."""
+        self.open_count[address] -= 1
+        self.start_queued(address)
+        if not self.open_count[address]:
+            del self.open_count[address]
+
+    def start_queued(self, address):
+        """Opens connections for queued requests while the address has room."""
+        queue = self.queues.get(address)
+        while queue and self.open_count.get(address, 0) < self.max_per_address:
+            self.open_connection(queue.popleft())
+        if not queue:
+            self.queues.pop(address, None)
+
+    def remove_queued(self, exchange):
+        """Removes a cancelled exchange from its queue."""
+        queue = self.queues.get(exchange.address)
+        if queue and exchange in queue:
+            queue.remove(exchange)
+
+    def reuse(self, conn):
+        """After an answer: starts a queued request on the connection, keeps it idle or closes it."""
         if conn.stream.closed:
             return
-        if not conn.keep or conn.stream.unsent_bytes:
+        if not conn.reusable or conn.stream.unsent_bytes:
             return conn.stream.close()
         conn.stream.resume()
-        line = self.line.get(conn.address)
-        if line:
-            return conn.start(line.popleft())
+        queue = self.queues.get(conn.address)
+        if queue:
+            return conn.start(queue.popleft())
         idle = self.idle.setdefault(conn.address, [])
         if len(idle) >= self.max_idle_per_address:
             return conn.stream.close()
         conn.idle_us = self.loop.now
         idle.append(conn)
 
-    def gone(self, conn):
+    def connection_closed(self, conn):
+        """A connection's stream has closed."""
         self.all.discard(conn)
         idle = self.idle.get(conn.address)
         if idle and conn in idle:
             idle.remove(conn)
-        self.dropped(conn.address)
+        self.release_slot(conn.address)
 
     def sweep(self):
+        """Once a second: closes connections that have been idle for too long."""
         self.sweep_timer = self.loop.call_later(1_000_000, self.sweep)
         for address in list(self.idle):
             for conn in [c for c in self.idle[address] if self.loop.now - c.idle_us > self.idle_us]:
@@ -404,10 +431,12 @@
                 del self.idle[address]
 
     def close_idle(self, address):
+        """Closes the idle connections to an address."""
         for conn in list(self.idle.get(address, ())):
             conn.stream.close()
 
     def close(self):
+        """Aborts all connections."""
         self.sweep_timer.cancel()
         for conn in list(self.all):
             conn.stream.abort()
--- a/lapiswing/http1/wire.py
+++ b/lapiswing/http1/wire.py
@@ -1,7 +1,7 @@
-"""What both sides share: the checks of a head's raw bytes, and how heads and chunks are written.
+"""Shared by both sides: strict checks of a head's raw bytes, and the encoding of heads and chunks.
 
-The parser is lenient here and there. A router stands between two parsers, and what two parsers read differently is
-how a request is smuggled past one of them (RFC 9112, section 11.2), so a head is looked at byte by byte first."""
+The parser is lenient in places. A router stands between two parsers, and a message that two parsers read differently allows
+request smuggling (RFC 9112, section 11.2), so every head is checked byte by byte first."""
 
 import re
 from http import HTTPStatus
@@ -10,11 +10,11 @@
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 REQUEST_LINE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+ [^\x00-\x20\x7f]+ HTTP/1\.[01]")
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] [1-9][0-9][0-9]( [^\x00-\x08\x0a-\x1f\x7f]*)?")
-BAD_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+FORBIDDEN_IN_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 
 
-class Bad(Exception):
-    """The peer's fault. `status` is what a server answers; `args[0]` says why."""
+class ProtocolError(Exception):
+    """The peer violated the protocol. `status` is what a server answers, `args[0]` the reason."""
 
     def __init__(self, why, status=400):
         super().__init__(why)
@@ -22,65 +22,70 @@
 
 
 def split_head(head, first):
-    """`head` without its final empty line -> (first line, [(lower-case name, value)]). Raises Bad."""
+    """`head` without its final empty line -> (first line, [(lower-case name, value)]). Raises ProtocolError."""
     lines = head.split(b"\r\n")
     if b"\n" in head.replace(b"\r\n", b"") or b"\r" in head.replace(b"\r\n", b""):
-        raise Bad("bare CR or LF in the head")
+        raise ProtocolError("bare CR or LF in the head")
     if not first.fullmatch(lines[0]):
-        raise Bad("malformed first line")
+        raise ProtocolError("malformed first line")
     fields = []
     for line in lines[1:]:
         if line[:1] in (b" ", b"\t"):
-            raise Bad("folded header line")
+            raise ProtocolError("folded header line")
         name, colon, value = line.partition(b":")
         if not colon or not TOKEN.fullmatch(name):
-            raise Bad("malformed header name")
+            raise ProtocolError("malformed header name")
         value = value.strip(b" \t")
-        if BAD_VALUE.search(value):
-            raise Bad("control character in a header value")
+        if FORBIDDEN_IN_VALUE.search(value):
+            raise ProtocolError("control character in a header value")
         fields.append((name.lower(), value))
     return lines[0], fields
 
 
 def check_framing(fields, request):
-    """Length of the body: a number, 'chunked' or None where no header says. Raises Bad for every shape that two
-    parsers could read differently: both length headers, two lengths, a length that is not plain digits, a coding
+    """-> the length of the body: a number, 'chunked', or None if no header gives it. Raises ProtocolError for everything that two
+    parsers could read differently: both length headers, two lengths, a length that is not plain digits, a transfer coding
     other than chunked alone."""
     lengths = [v for n, v in fields if n == b"content-length"]
     codings = [v for n, v in fields if n == b"transfer-encoding"]
     if lengths and codings:
-        raise Bad("both Content-Length and Transfer-Encoding")
+        raise ProtocolError("both Content-Length and Transfer-Encoding")
     if len(lengths) > 1:
-        raise Bad("more than one Content-Length")
+        raise ProtocolError("more than one Content-Length")
     if lengths:
         if not re.fullmatch(rb"[0-9]{1,15}", lengths[0]):
-            raise Bad("Content-Length is not a number")
+            raise ProtocolError("Content-Length is not a number")
         return int(lengths[0])
     if codings:
         if len(codings) > 1 or codings[0].lower() != b"chunked":
-            raise Bad("only the chunked transfer coding is known", 501 if request else 400)
+            raise ProtocolError("only the chunked transfer coding is supported", 501 if request else 400)
         return "chunked"
     return None
 
 
 def get(fields, name, default=None):
+    """-> the first value of a header."""
     return next((v for n, v in fields if n == name), default)
 
 
 def tokens(fields, name):
+    """-> the set of lower-case tokens in a header that is a comma-separated list."""
     return {t.strip().lower() for n, v in fields if n == name for t in v.split(b",")}
 
 
 def response_head(status, fields):
+    """-> the bytes of a response's head."""
     lines = [b"HTTP/1.1 %d %s" % (status, REASONS.get(status, "").encode())]
     lines += [n + b": " + v for n, v in fields]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def request_head(method, target, fields):
+    """-> the bytes of a request's head."""
     lines = [method + b" " + target + b" HTTP/1.1"] + [n + b": " + v for n, v in fields]
     return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def chunk(data):
+    """-> one chunk of the chunked transfer coding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/lapiswing/loop/__init__.py
+++ b/lapiswing/loop/__init__.py
@@ -1,5 +1,5 @@
-"""One `selectors` loop of our own: timers, streams with bounded buffers, listeners, signals and a clock that
-tests can replace. It knows nothing of HTTP or of the gateway."""
+"""An event loop on `selectors`: timers, streams with bounded buffers, listeners, signals, and a clock that tests can replace.
+Independent of HTTP and of the gateway."""
 
 from lapiswing.loop.clock import Clock, ManualClock
 from lapiswing.loop.core import Loop, Timer
--- a/lapiswing/loop/stream.py
+++ b/lapiswing/loop/stream.py
@@ -1,4 +1,4 @@
-"""A connected socket with a bounded outgoing buffer."""
+"""A connected socket with a bounded output buffer."""
 
 import os
 import selectors
@@ -7,37 +7,37 @@
 from collections import deque
 from itertools import islice, takewhile
 
-from lapiswing.loop.errnos import Cause, of_transfer
+from lapiswing.loop.errnos import Cause, transfer_error_cause
 
-READ = 65536
-STARVED_US = 10_000  # pause of a stream for whose call the machine had no memory
-LARGE = 32768
-MORE = getattr(socket, "MSG_MORE", 0)
-LINGER_BYTES = 262144  # read and thrown away by a lingering close
-READ_TURNS = 4  # reads of one stream in a turn, so that one fast sender does not delay the others
+READ_BYTES = 65536
+NO_MEMORY_PAUSE_US = 10_000  # before a transfer is retried that failed for lack of kernel memory
+LARGE_BYTES = 32768  # parts larger than this are sent without copying
+MORE_FLAG = getattr(socket, "MSG_MORE", 0)
+LINGER_BYTES = 262144  # input discarded by a lingering close
+MAX_READS = 4  # of one stream per turn, so that a fast sender does not delay the others
 
 
 class FilePart:
-    """Bytes of an open file that are to go out. `file` is kept until they are: whatever has `fileno()` and closes itself
-    when the last one lets go of it. A plain number could be closed, and mean another file by the time it is sent."""
+    """A range of an open file to be sent. `file` is kept until then: an object with `fileno()` that closes itself when it is no
+    longer referenced. A bare descriptor could be closed and refer to another file by the time it is used."""
 
-    __slots__ = ("file", "at", "left")
+    __slots__ = ("file", "offset", "remaining")
 
-    def __init__(self, file, at, size):
-        self.file, self.at, self.left = file, at, size
+    def __init__(self, file, offset, size):
+        self.file, self.offset, self.remaining = file, offset, size
 
     def __len__(self):
-        return self.left
+        return self.remaining
 
 
 class Stream:
     """The owner sets `owner` to an object with
-        on_data(bytes)      what came in
+        on_data(bytes)      input has arrived
         on_eof()            the peer will send no more
-        on_closed(why)      once; why is None where this side closed, else a short text
-        on_drained()        after `full` was true, when the buffer is below its low mark again
-    `write` never blocks and never refuses; a polite owner stops producing while `full` is true. Output is
-    flushed at the end of the loop's turn, so that many small writes are one system call."""
+        on_closed(why)      once; why is None if this side closed the stream, otherwise a short text
+        on_drained()        after `full` was true, when the buffer has fallen to its low mark
+    `write` never blocks and never refuses; an owner should stop producing while `full` is true. Output is flushed at the end of
+    the loop's turn, so that many small writes become one system call."""
 
     def __init__(self, loop, sock, owner=None, high=262144, low=65536):
         sock.setblocking(False)
@@ -48,54 +48,57 @@
         self.loop, self.sock, self.owner, self.high, self.low = loop, sock, owner, high, low
         self.out, self.unsent_bytes, self.full = deque(), 0, False
         self.sent = self.received = 0
-        self.last_progress_us = loop.clock.now_us()  # when the peer last took or gave bytes
+        self.last_progress_us = loop.clock.now_us()  # when bytes were last received or accepted by the kernel
         self.reading, self.closed, self.closing, self.ended = True, False, False, False
         self.events = 0
         self.linger_us = self.linger_left = 0
         self.lingering = None  # the timer that ends a lingering close
-        self.starved = None  # the timer that ends a pause for want of memory
-        self.update()
+        self.memory_timer = None  # the timer that ends a pause for lack of memory
+        self.update_events()
 
-    def update(self):
+    def update_events(self):
+        """Watches the socket for what is needed now."""
         events = (
             0
-            if self.starved is not None
+            if self.memory_timer is not None
             else (selectors.EVENT_READ if self.reading and not self.ended else 0) | (selectors.EVENT_WRITE if self.blocked else 0)
         )
         if events != self.events and not self.closed:
             self.loop.watch(self.sock, events, self.on_ready)
             self.events = events
 
-    blocked = False  # the kernel's buffer was full at the last try
-    records = False  # reads may bring less than there is, see SecureStream
-    target, most, turns = None, READ, READ_TURNS  # an owner that knows what comes next may set `most`, for one read
+    blocked = False  # the kernel's send buffer was full at the last attempt
+    partial_reads = False  # a read may return less than is available, see SecureStream
+    target, most, turns = None, READ_BYTES, MAX_READS  # `most`: size of a read; an owner that expects less may lower it
 
     def read_into(self, view):
-        """What comes in next goes straight into `view`; then `owner.on_filled()`, and `on_data` again."""
+        """Reads the next input straight into `view`, then calls `owner.on_filled()`; after that `on_data` is used again."""
         self.target = view
 
     def transfer_failed(self, problem):
-        """What the machine has no memory for is done again after a pause; every other error is the connection's end."""
-        if not self.may_repeat or of_transfer(problem.errno) is not Cause.OWN_MOMENT:
+        """Retries after a pause if the machine had no memory; every other error ends the connection."""
+        if not self.retriable or transfer_error_cause(problem.errno) is not Cause.LOCAL_TRANSIENT:
             return self.drop(f"reset: {problem.strerror}")
-        if self.starved is None:
-            self.starved = self.loop.call_later(STARVED_US, self.try_again)
-        self.update()
+        if self.memory_timer is None:
+            self.memory_timer = self.loop.call_later(NO_MEMORY_PAUSE_US, self.retry_transfer)
+        self.update_events()
 
-    def try_again(self):
-        self.starved = None
-        self.update()
+    def retry_transfer(self):
+        self.memory_timer = None
+        self.update_events()
         self.loop.guard(self, self.flush)
 
-    may_repeat = True  # whether a call that failed may be made again with the same bytes
+    retriable = True  # whether a failed call may be repeated with the same bytes
 
     def pause(self):
+        """Stops reading."""
         self.reading = False
-        self.update()
+        self.update_events()
 
     def resume(self):
+        """Continues reading."""
         self.reading = True
-        self.update()
+        self.update_events()
 
     def on_ready(self, mask):
         if mask & selectors.EVENT_WRITE:
@@ -130,7 +133,7 @@
                 self.ended = True
                 if self.lingering is not None:
                     return self.drop(None)
-                self.update()
+                self.update_events()
                 return self.owner.on_eof()
             self.received += len(data)
             if self.lingering is not None:
@@ -140,11 +143,11 @@
                 continue
             asked = self.most
             self.owner.on_data(data)
-            if len(data) < asked and self.target is None and not self.records:
+            if len(data) < asked and self.target is None and not self.partial_reads:
                 return
 
-    def catch_up(self):
-        """Reads all that has come in by now, an end behind it too, and not at the loop's next turn."""
+    def read_available(self):
+        """Reads everything that has arrived by now, including the end, without waiting for the loop's next turn."""
         for _ in range(self.turns):
             before = self.received
             self.read()
@@ -152,7 +155,7 @@
                 return
 
     def pending(self):
-        """Whether bytes or an end have come in that were not read yet."""
+        """Whether unread bytes or an unread end have arrived."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except self.NOT_NOW:
@@ -164,6 +167,7 @@
     NOT_NOW = (BlockingIOError, InterruptedError)
 
     def write(self, data):
+        """Buffers output; ignored once the stream is closed or closing."""
         if self.closed or self.closing or not data:
             return
         if not self.out:
@@ -174,24 +178,25 @@
             self.full = True
         self.loop.dirty.add(self)
 
-    def write_file(self, file, at, size):
-        """`size` bytes of an open file from `at` on, by the kernel itself where it can (sendfile)."""
-        self.write(FilePart(file, at, size))
+    def write_file(self, file, offset, size):
+        """Writes `size` bytes of an open file from `offset` on, with sendfile where possible."""
+        self.write(FilePart(file, offset, size))
 
     def send_some(self, out):
-        """Gives the kernel what it takes of the first parts. -> how many bytes."""
+        """Passes as much of the first parts to the kernel as it accepts. -> the number of bytes."""
         if isinstance(out[0], FilePart):
             part = out[0]
-            return os.sendfile(self.sock.fileno(), part.file.fileno(), part.at, part.left)
-        # Joined: a gather write of many small parts costs more than copying them; large ones go alone.
-        if len(out) == 1 or len(out[0]) > LARGE:
+            return os.sendfile(self.sock.fileno(), part.file.fileno(), part.offset, part.remaining)
+        # Small parts are joined, as copying them costs less than a gathering write; large ones are sent alone.
+        if len(out) == 1 or len(out[0]) > LARGE_BYTES:
             return self.sock.send(out[0])
-        if len(out[1]) > LARGE:
-            return self.sock.send(out[0], MORE) if isinstance(out[1], FilePart) else self.sock.sendmsg((out[0], out[1]))
+        if len(out[1]) > LARGE_BYTES:
+            return self.sock.send(out[0], MORE_FLAG) if isinstance(out[1], FilePart) else self.sock.sendmsg((out[0], out[1]))
         return self.sock.send(b"".join(takewhile(lambda part: not isinstance(part, FilePart), islice(out, 64))))
 
     def flush(self):
-        if self.closed or self.blocked or self.starved is not None:
+        """Sends buffered output until the kernel accepts no more."""
+        if self.closed or self.blocked or self.memory_timer is not None:
             return
         out = self.out
         while out:
@@ -202,7 +207,7 @@
                 break
             except OSError as problem:
                 return self.transfer_failed(problem)
-            if not done:  # a file that has become shorter while it is being sent: what was promised can't come
+            if not done:  # the file has become shorter while it is being sent: the promised bytes can't be delivered
                 return self.drop("file ended early")
             self.last_progress_us = self.loop.now
             self.sent += done
@@ -211,32 +216,32 @@
                 head = out[0]
                 if len(head) > done:
                     if isinstance(head, FilePart):
-                        head.at, head.left = head.at + done, head.left - done
+                        head.offset, head.remaining = head.offset + done, head.remaining - done
                     else:
                         out[0] = memoryview(head)[done:]
                     break
                 done -= len(head)
                 out.popleft()
         if self.blocked or self.events & selectors.EVENT_WRITE:
-            self.update()
+            self.update_events()
         if self.full and self.unsent_bytes <= self.low:
             self.full = False
             self.owner.on_drained()
         if not self.out and self.closing and self.lingering is None:
-            self.part()
+            self.finish_close()
 
     def close(self, linger_us=0, linger_bytes=LINGER_BYTES):
-        """Closes once all that was written is with the kernel. A close over bytes that were not read is a reset, which
-        can destroy what was written last: with `linger_us` this side only ends its sending, and what still comes is
-        read and thrown away until the peer's end, for that time and so many bytes at the most. Could harm where peers
-        never close, by a descriptor for that time."""
+        """Closes once the kernel has all buffered output. Closing with unread input sends a reset, which can destroy the last
+        output. With `linger_us` this side therefore only shuts down sending, and discards input until the peer's end, for at
+        most that time and that many bytes. Against peers that never close this occupies a descriptor for that time."""
         if self.closed:
             return
         if not self.closing:
             self.closing, self.linger_us, self.linger_left = True, linger_us, linger_bytes
         self.flush()
 
-    def part(self):
+    def finish_close(self):
+        """All output is with the kernel: closes, or begins to linger."""
         if not self.linger_us or self.ended:
             return self.drop(None)
         try:
@@ -247,7 +252,7 @@
         self.resume()
 
     def abort(self):
-        """Closes at once with a reset, so that the peer does not take it for an end."""
+        """Closes at once with a reset, so that the peer does not take it for a regular end."""
         if self.closed:
             return
         try:
@@ -257,10 +262,11 @@
         self.drop(None)
 
     def drop(self, why):
+        """Closes the socket and calls `on_closed`."""
         if self.closed:
             return
         self.closed = True
-        for timer in (self.lingering, self.starved):
+        for timer in (self.lingering, self.memory_timer):
             if timer is not None:
                 timer.cancel()
         self.loop.watch(self.sock, 0, None)
@@ -268,5 +274,5 @@
         self.sock.close()
         self.out.clear()
         self.unsent_bytes = 0
-        owner, self.owner = self.owner, None  # no cycle is left behind
+        owner, self.owner = self.owner, None  # avoids a reference cycle
         self.loop.guard(None, owner.on_closed, why)
--- a/lapiswing/loop/wall_clock.py
+++ b/lapiswing/loop/wall_clock.py
@@ -1,14 +1,15 @@
-"""The machine's wall clock, read in one place. It may be stepped at any time, so no span is ever taken between two of its
-readings: a moment that another machine or an earlier process has told is turned into this process's monotonic time once,
-by `offset_us` as of the process's begin."""
+"""The machine's wall clock. It may be stepped at any time, so durations are never computed from two of its readings: a time
+reported by another machine or a previous process is converted once to this process's monotonic time, with the `offset_us`
+determined when the process started."""
 
 import time
 
 
 def unix_us():
+    """-> the current Unix time in us."""
     return time.time_ns() // 1000
 
 
 def offset_us(clock):
-    """What is added to a Unix time in us to have the time of `clock`, as this machine's wall clock shows it now."""
+    """-> what must be added to a Unix time in us to get the time of `clock`, by the wall clock's current reading."""
     return clock.now_us() - unix_us()
--- a/lapiswing/node/config.py
+++ b/lapiswing/node/config.py
@@ -11,6 +11,7 @@
 
 class ConfigError(OperatorError, ValueError):
     """The configuration can't be used. `field` is the name of the faulty field, or "file" if the file can't be read."""
+
     exit_code = 2
     advice = "Mend the named field of the configuration that the platform gives, then start again or send SIGHUP."
 
@@ -21,6 +22,7 @@
 
 class Limits(msgspec.Struct):
     """Resources that this process may use."""
+
     cores: float
     memory_mb: float
     sockets: int
@@ -29,6 +31,7 @@
 class Config(msgspec.Struct):
     """The configuration file. `settings` are the router's settings in the platform's notation, `known` is a server list
     that was saved earlier."""
+
     name: str
     listen: str
     discovery: str
--- a/lapiswing/node/discovery.py
+++ b/lapiswing/node/discovery.py
@@ -31,6 +31,7 @@
 
 class Endpoint(msgspec.Struct):
     """One server in discovery's answer."""
+
     name: str
     address: str
     zone: str
@@ -49,6 +50,7 @@
 
 class Targets(msgspec.Struct):
     """Discovery's answer: the whole list (`snapshot`) or the rows that changed."""
+
     index: int
     snapshot: bool
     endpoints: list[msgspec.Raw]  # decoded one by one, so that an unreadable row affects only itself
@@ -122,6 +124,7 @@
 
 class Discovery:
     """Keeps a ServerList up to date by long polling. At most one call is open at a time."""
+
     def __init__(self, loop, pool, address, rows, on_list_change, log, subscribe=False, seed=0):
         """`subscribe`: changes are only sent on request and each call is costly; `seed` spreads the calls of many gateways."""
         self.loop, self.pool, self.address = loop, pool, address
--- a/lapiswing/node/front.py
+++ b/lapiswing/node/front.py
@@ -149,6 +149,7 @@
 
 class ResponseWriter(Listener):
     """Writes the outcome of one request to its client."""
+
     def on_begin(self):
         self.exchange.begin(200, STREAM)
 
--- a/lapiswing/node/release_targets.py
+++ b/lapiswing/node/release_targets.py
@@ -66,9 +66,7 @@
         for names in by_zone.values():
             names.sort(key=lambda n: (is_silent(n), -self.answered_us.get(n, 0), chance[n]))
         zones = sorted(by_zone, key=lambda z: (last_us[z][1] > last_us[z][0], z != self.zone, chance[by_zone[z][0]]))
-        targets = [
-            by_zone[z][i] for i in range(max(map(len, by_zone.values()), default=0)) for z in zones if i < len(by_zone[z])
-        ]
+        targets = [by_zone[z][i] for i in range(max(map(len, by_zone.values()), default=0)) for z in zones if i < len(by_zone[z])]
         targets.sort(key=is_silent)
         if holder in self.zones:
             targets.remove(holder)
--- a/lapiswing/node/serve.py
+++ b/lapiswing/node/serve.py
@@ -14,7 +14,7 @@
 from lapiswing.http1 import Limits as HttpLimits
 from lapiswing.http1 import Pool, Server
 from lapiswing.loop import Clock, Listener, Loop, address_of, listen_socket, wall_clock
-from lapiswing.loop.errnos import Cause, of_connect
+from lapiswing.loop.errnos import Cause, connect_error_cause
 from lapiswing.membership import Membership
 from lapiswing.membership.starts import ServerStarts
 from lapiswing.node import config as configs
@@ -41,6 +41,7 @@
 
 class CoreLimits(NamedTuple):
     """The limits that the core reads from its settings message."""
+
     margin_ms: float
     open_reqs: int
     max_come_back_ms: int
@@ -49,6 +50,7 @@
 
 class Group(NamedTuple):
     """What the core reads of a request class."""
+
     stream_idle_ms: int = STREAM_IDLE_MS
     resume: bool = False
 
@@ -150,7 +152,7 @@
             router,
         )
         self.core.log_each_req = False
-        self.pool.stuck.on_change = self.core.report_own_trouble
+        self.pool.local_failures.on_change = self.core.report_own_trouble
         self.server_list = ServerList(settings["kinds"], settings["zones"], ServerStarts(wall_clock.offset_us(self.loop.clock)))
         tenants = [str(tenant.get("name")) for tenant in settings.get("tenants") or []]
         self.front = Front(self.core, settings["groups"], tenants, lambda: bool(self.server_list.rows) and not self.stopping)
@@ -166,7 +168,7 @@
                 10_000 * MS,
                 HEAD_BYTES + MAX_BODY_BYTES,
                 connections=self.clients,
-                first_us=FIRST_REQUEST_US,
+                first_request_us=FIRST_REQUEST_US,
             ),
         )
         self.subscribe = settings.get("membership_mode") == "subscribe"
@@ -225,7 +227,7 @@
 
     def on_listen_error(self, problem):
         """Retries after transient errors, such as a port that the previous process has not released yet."""
-        transient = of_connect(problem.errno) is not Cause.PEER
+        transient = connect_error_cause(problem.errno) is not Cause.PEER
         if not transient or self.loop.clock.now_us() >= self.listen_deadline_us:
             self.fault = CantListen(f"{self.path}: listen", problem)
             return self.loop.stop()
@@ -305,7 +307,7 @@
     def close_port(self):
         """Accepts what has connected by now and closes the port."""
         if self.listener is not None:
-            self.listener.take_rest()
+            self.listener.accept_pending()
             self.listener.close()
         self.finish()
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -199,8 +199,8 @@
         harness.until(lambda: harness.node.server.connections)
         (conn,) = harness.node.server.connections
         client.send(head("a1") + BODY)
-        conn.overdue(conn.born_us + 3_000_000)
+        conn.check_timeouts(conn.opened_us + 3_000_000)
         assert client.wait_answer().status == 200
-        conn.overdue(harness.loop.now + 200_000_000)  # with nothing on its way it does close
+        conn.check_timeouts(harness.loop.now + 200_000_000)  # with nothing on its way it does close
         harness.until(lambda: not harness.node.server.connections)
         client.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -46,7 +46,7 @@
     handlers = [Handler() for _ in range(9)]
     for i, handler in enumerate(handlers):
         pool.request(listeners[i % 3].address, b"GET", b"/", [], b"", handler)
-    assert sum(pool.count.values()) == 5
+    assert sum(pool.open_count.values()) == 5
     loop.run_until(lambda: sum(map(len, (h.ends for h in handlers))) == 4, S)
     assert [h.ends for h in handlers] == [[]] * 5 + [["local"]] * 4
     pool.close()
@@ -83,8 +83,8 @@
     listener = Listener(
         loop, listen_socket("127.0.0.1", 0), lambda stream, peer: (seen.append(stream), setattr(stream, "owner", RecordingLog()))
     )
-    os.close(listener.spare)
-    listener.spare = None
+    os.close(listener.spare_descriptor)
+    listener.spare_descriptor = None
 
     class Full:
         def __init__(self, sock):
@@ -100,7 +100,7 @@
     loop.run_until(lambda: False, 350 * MS)
     assert loop.turns < 40  # it does not spin
     listener.sock = listener.sock.sock
-    assert loop.run_until(lambda: seen, S) and listener.spare is not None
+    assert loop.run_until(lambda: seen, S) and listener.spare_descriptor is not None
     near.close()
     listener.close()
     loop.close()
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -52,7 +52,7 @@
     clients = [socket.create_connection(listener.address) for _ in range(3)]
     code = getattr(errno, name)
     listener.sock = Failing(listener.sock, accept=[code, code])
-    listener.take_rest()
+    listener.accept_pending()
     listener.close()
     assert len(seen) == 3
     for client in clients:
@@ -67,7 +67,7 @@
     listener, seen = listening(loop)
     clients = [socket.create_connection(listener.address) for _ in range(4)]
     listener.sock = Failing(listener.sock, accept=[code, code, code])
-    listener.take_rest()
+    listener.accept_pending()
     listener.close()
     assert len(seen) + listener.refused == 4 and len(seen) >= 2
     for client in clients:
@@ -81,7 +81,7 @@
         harness.node.listener.max_connections = 4
         kept = [harness.ask(f"a{i}").wait_answer() for i in range(4)]
         late = [harness.ask(f"b{i}") for i in range(3)]
-        harness.node.listener.roomed_us = harness.loop.now
+        harness.node.listener.room_sought_us = harness.loop.now
         harness.node.stop()
         harness.node.close_port()
         for client in late:
@@ -240,10 +240,10 @@
         "ENOMEM",
         "EPROTONOSUPPORT",
     }
-    assert not [name for name in own if errnos.of_connect(getattr(errno, name)) is errnos.Cause.PEER]
+    assert not [name for name in own if errnos.connect_error_cause(getattr(errno, name)) is errnos.Cause.PEER]
     peer = {"ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}
-    assert {errnos.of_connect(getattr(errno, name)) for name in peer} == {errnos.Cause.PEER}
-    assert {errnos.of_transfer(getattr(errno, name)) for name in peer | {"EPIPE"}} == {errnos.Cause.PEER}
+    assert {errnos.connect_error_cause(getattr(errno, name)) for name in peer} == {errnos.Cause.PEER}
+    assert {errnos.transfer_error_cause(getattr(errno, name)) for name in peer | {"EPIPE"}} == {errnos.Cause.PEER}
 
 
 def deaf_to(monkeypatch, address, code):
@@ -295,7 +295,7 @@
     loop = Loop(Clock())
     listener, _ = listening(loop)
     listener.sock = Failing(listener.sock, accept=[errno.EINVAL] * 2)
-    listener.take_rest()
+    listener.accept_pending()
     listener.close()
     assert listener.closed
     loop.close()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -235,7 +235,7 @@
                 except BlockingIOError:
                     pass
                 harness.loop.turn(1000)
-                assert len(conn.raw) <= harness.node.server.limits.pipelined_bytes
+                assert len(conn.buffer) <= harness.node.server.limits.pipelined_bytes
         except OSError:
             pass
         assert sent < 8 << 20 and not harness.node.server.connections
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -606,7 +606,7 @@
         router = core.router
         assert len(router.servers) <= 3 and len(core.kinds) <= 3 and len(core.tally.servers) <= 3
         assert max(router.table.pairs.shape) <= 3 and len(router.served) <= 3 and not router.reqs and not core.ended
-        assert len(harness.node.pool.count) <= 2 and len(harness.node.pool.all) <= 2 * harness.node.pool.max_idle_per_address
+        assert len(harness.node.pool.open_count) <= 2 and len(harness.node.pool.all) <= 2 * harness.node.pool.max_idle_per_address
         assert len(harness.loop.watched) < 40 and len([t for t in harness.loop.timers if t[2].call is not None]) < 20
 
 
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -64,8 +64,8 @@
         for client in clients:
             client.send(head("b", LONG_BODY) + LONG_BODY)
             harness.loop.turn(1000)
-        harness.until(lambda: sum(c.passed_over > 0 for c in server.connections) >= 5)
-        assert sum(len(c.raw) for c in server.connections) < 100_000 + len(LONG_BODY) + 1000
+        harness.until(lambda: sum(c.discarded_bytes > 0 for c in server.connections) >= 5)
+        assert sum(len(c.buffer) for c in server.connections) < 100_000 + len(LONG_BODY) + 1000
         for client in clients:
             client.close()
         harness.wait_settled()
