--- a/lapiswing/errors.py
+++ b/lapiswing/errors.py
@@ -1,18 +1,17 @@
-"""The base of every error that an operator may meet. Each says what failed, where, and what the operator can
-do.
+"""The base class of all errors shown to operators. Each says what failed, where, and what the operator can do.
 
     class StoreError(OperatorError):
         exit_code = 2
         advice = "One sentence, what to do."
 
-`str(problem)` is the first line that the command line prints, `problem.advice` the second. docs/errors.md
-lists all types; a test holds it against the classes."""
+The command line prints `str(problem)` and then `problem.advice`. docs/errors.md lists all types; a test compares it with the
+classes."""
 
 
 class OperatorError(Exception):
-    """`where`: the file, address, folder or option; may be empty. `what`: what failed there. `advice`: one
-    sentence on what the operator can do. `exit_code`: of the command that ends by it (1 something ran and
-    went wrong, 2 a bad argument, file or setting, or something that has to be changed before a start)."""
+    """`where`: the file, address, folder or option; may be empty. `what`: what failed there. `advice`: one sentence on what the
+    operator can do. `exit_code`: of a command that ends with this error (1: something failed while running; 2: an invalid
+    argument, file or setting, or something else that must be changed before a start)."""
 
     exit_code = 1
     advice = ""
--- a/lapiswing/membership/__init__.py
+++ b/lapiswing/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which boxes there are, by whose word. The deciding part is `merge`, without I/O."""
+"""Which servers exist, according to several sources. The merging itself is done in `merge`, without I/O."""
 
 from lapiswing.membership.merge import Membership
 
--- a/lapiswing/membership/discover.py
+++ b/lapiswing/membership/discover.py
@@ -1,51 +1,62 @@
-"""The doing part of finding boxes by records: asks what its browsers want, and tells the merge what they see."""
+"""Finds servers by DNS records: sends the queries that the browsers need and passes the results on to the merge."""
 
 MS = 1000
-LOOK_US = 200 * MS
-ASKS_S = 300  # questions a second, and at once: each costs about a millisecond of the loop
-FIRST_US = 2_000 * MS  # the first sight is told whole, if it is so within this
-SOON_US = 10 * MS  # answers that come together are looked at together
+POLL_US = 200 * MS
+QUERIES_PER_S = 300  # rate and burst; each query costs about a millisecond of the loop
+FIRST_RESULT_US = 2_000 * MS  # the first result is only passed on once it is complete, or after this time
+BATCH_US = 10 * MS  # answers that arrive within this time are processed together
 
 
 class Discovery:
-    def __init__(self, loop, resolver, browsers, row_of, tell, tick, log):
-        """`browsers`: {source: Browser}; `row_of(found)` -> row, or raises ValueError; `tell(source, rows)`; `tick()` each look."""
+    """Polls the browsers of all sources of records."""
+
+    def __init__(self, loop, resolver, browsers, row_of, publish, tick, log):
+        """`browsers`: {source: Browser}; `row_of(found)` -> row, or raises ValueError; `publish(source, rows)` passes a source's
+        servers on; `tick()` is called at each poll."""
         self.loop, self.resolver, self.browsers, self.log = loop, resolver, browsers, log
-        self.row_of, self.tell, self.tick = row_of, tell, tick
-        self.last, self.states, self.refused, self.closed, self.soon = {}, {}, {}, False, set()
-        self.left, self.left_us, self.start_us = float(ASKS_S), loop.clock.now_us(), loop.clock.now_us()
-        self.look()
+        self.row_of, self.publish, self.tick = row_of, publish, tick
+        self.last, self.states, self.refused, self.closed, self.scheduled = {}, {}, {}, False, set()
+        self.query_tokens, self.tokens_refilled_us, self.start_us = float(QUERIES_PER_S), loop.clock.now_us(), loop.clock.now_us()
+        self.poll()
 
-    def look(self):
+    def poll(self):
+        """Polls all sources."""
         if self.closed:
             return
-        self.timer = self.loop.call_later(LOOK_US, self.look)
+        self.timer = self.loop.call_later(POLL_US, self.poll)
         for source, browser in self.browsers.items():
-            self.ask(browser)
-            self.see(source, browser)
+            self.send_queries(browser)
+            self.update_source(source, browser)
         self.tick()
 
-    def ask(self, browser):
-        self.soon.discard(browser)
+    def send_queries(self, browser):
+        """Sends the queries that a browser needs, as far as the rate limit allows."""
+        self.scheduled.discard(browser)
         if self.closed:
             return
         now = self.loop.clock.now_us()
-        self.left, self.left_us = min(float(ASKS_S), self.left + (now - self.left_us) * ASKS_S / 1e6), now
-        for name, kind in browser.wants(now, int(self.left)) if self.left >= 1 else ():
-            self.left -= 1
-            self.resolver.ask(name, kind, lambda answer, why, name=name, kind=kind: self.told(browser, name, kind, answer, why))
+        self.query_tokens, self.tokens_refilled_us = (
+            min(float(QUERIES_PER_S), self.query_tokens + (now - self.tokens_refilled_us) * QUERIES_PER_S / 1e6),
+            now,
+        )
+        for name, kind in browser.wants(now, int(self.query_tokens)) if self.query_tokens >= 1 else ():
+            self.query_tokens -= 1
+            self.resolver.ask(
+                name, kind, lambda answer, why, name=name, kind=kind: self.on_answer(browser, name, kind, answer, why)
+            )
 
-    def told(self, browser, name, kind, answer, why):
+    def on_answer(self, browser, name, kind, answer, why):
         if not self.closed:
             browser.told(name, kind, answer, self.loop.clock.now_us(), why)
-            if browser not in self.soon:  # an instance leads to its records, these to addresses
-                self.soon.add(browser)
-                # With many names a look over all of them costs: it is taken less often then.
-                self.loop.call_later(SOON_US + 50 * len(browser.cache.known), self.ask, browser)
+            if browser not in self.scheduled:  # answers lead to further queries: from an instance to its records to addresses
+                self.scheduled.add(browser)
+                # Searching many names is costly, so it is done less often when there are many.
+                self.loop.call_later(BATCH_US + 50 * len(browser.cache.known), self.send_queries, browser)
 
-    def see(self, source, browser):
+    def update_source(self, source, browser):
+        """Passes on a source's servers if they have changed."""
         now = self.loop.clock.now_us()
-        if browser.asking and source not in self.last and now - self.start_us < FIRST_US:
+        if browser.asking and source not in self.last and now - self.start_us < FIRST_RESULT_US:
             return
         view = browser.view(now)
         if view.state == "none" and source not in self.last:
@@ -65,19 +76,30 @@
         self.refused = {k: v for k, v in self.refused.items() if k[0] != source} | {(source, n): w for n, w in refused}
         if rows != self.last.get(source):
             self.last[source] = rows
-            self.tell(source, rows)
+            self.publish(source, rows)
 
     def rows(self):
+        """-> the state of all sources and name servers, for the admin interface."""
         return {
             "sources": [
-                {"source": s, "state": self.states.get(s, "none"), "boxes": len(self.last.get(s, ())), "problem": b.problem}
-                for s, b in self.browsers.items()
+                {
+                    "source": source,
+                    "state": self.states.get(source, "none"),
+                    "boxes": len(self.last.get(source, ())),
+                    "problem": browser.problem,
+                }
+                for source, browser in self.browsers.items()
             ],
             "servers": [
-                {"server": f"{u.address[0]}:{u.address[1]}", "fails": u.fails, "answers": u.answers, "lost": u.lost}
-                for u in self.resolver.servers
+                {
+                    "server": f"{server.address[0]}:{server.address[1]}",
+                    "fails": server.fails,
+                    "answers": server.answers,
+                    "lost": server.lost,
+                }
+                for server in self.resolver.servers
             ],
-            "refused": [{"source": s, "name": n, "why": w} for (s, n), w in self.refused.items()][:100],
+            "refused": [{"source": source, "name": name, "why": why} for (source, name), why in self.refused.items()][:100],
             "counts": self.resolver.counts,
         }
 
--- a/lapiswing/node/discovery.py
+++ b/lapiswing/node/discovery.py
@@ -77,7 +77,7 @@
         if endpoint.status not in MODES:
             raise ValueError(f"unknown status {endpoint.status!r} of {endpoint.name}")
         zone = self.zones.index(endpoint.zone) if endpoint.zone in self.zones else len(self.zones)
-        self.starts.by_clock(endpoint.since_ms)  # raises if it is not a valid time
+        self.starts.to_clock_us(endpoint.since_ms)  # raises if it is not a valid time
         return Server(
             endpoint.name, zone, endpoint.group, self.kinds.index(endpoint.type), endpoint.weight, 0, MODES[endpoint.status]
         )
@@ -101,7 +101,7 @@
         if faults and not rows and targets.snapshot:
             raise ValueError(faults[0])
         self.faults = faults
-        started = self.starts.place(sinces, now_us)
+        started = self.starts.convert(sinces, now_us)
         rows = [row._replace(started_us=started[row.id]) for row in rows]
         if targets.snapshot:
             self.rows, self.addresses = {}, {}
--- a/lapiswing/observe/logs.py
+++ b/lapiswing/observe/logs.py
@@ -1,4 +1,4 @@
-"""Logs by structlog, to standard error: one line an event, as text (logfmt) or JSON."""
+"""Logs by structlog to standard error: one line per event, as text (logfmt) or JSON."""
 
 import logging
 import sys
@@ -8,12 +8,13 @@
 from lapiswing.observe.sink import LogSink
 
 
-def drop_empty(_logger, _method, line):
-    return {k: v for k, v in line.items() if v is not None}
+def drop_empty(_logger, _method, fields):
+    """A structlog processor that removes fields without a value."""
+    return {k: v for k, v in fields.items() if v is not None}
 
 
 def start_logs(level="info", form="text", sink=None, **bound):
-    """-> a logger with `bound` in each line."""
+    """-> a logger that adds the fields `bound` to each line."""
     renderer = (
         structlog.processors.JSONRenderer()
         if form == "json"
--- a/lapiswing/observe/metrics.py
+++ b/lapiswing/observe/metrics.py
@@ -1,6 +1,8 @@
-"""Metrics by prometheus_client, read off the program's own counters when they are asked for: counting costs nothing more.
+"""Metrics by prometheus_client, computed from the program's own counters when they are requested, so that counting has no extra
+cost.
 
-A source yields (name, kind, help, rows); kind is counter or gauge, rows: (labels, value) with labels as a dict."""
+A source is a callable that yields (name, kind, help, rows): kind is counter or gauge, rows are (labels, value) with labels as
+a dict."""
 
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
@@ -10,6 +12,8 @@
 
 
 class Metrics:
+    """Collects the metrics of all sources."""
+
     def __init__(self, *sources):
         self.sources, self.registry = list(sources), CollectorRegistry(auto_describe=False)
         self.registry.register(self)
@@ -25,9 +29,10 @@
                 yield family
 
     def render(self):
+        """-> the text exposition format."""
         return generate_latest(self.registry)
 
 
 def counts_of(prefix, counts, text):
-    """{'chunks sent': 7} -> one counter family with the label `what`."""
+    """A source: {'chunks sent': 7} -> one counter family with the label `what`."""
     yield prefix, "counter", text, [({"what": name}, value) for name, value in counts.items()]
--- a/lapiswing/observe/sink.py
+++ b/lapiswing/observe/sink.py
@@ -1,17 +1,17 @@
-"""Where log lines go: a text stream that may fail or stand still without the program noticing.
+"""The destination of log lines: a text stream that may fail or block without affecting the program.
 
-A disk that is full, a pipe whose reader has gone and one whose reader has stopped are troubles of the log alone. A line
-that can't be written at once is dropped and counted, and the count is told once lines can be written again."""
+A full disk, a pipe whose reader has gone and one whose reader has stopped only affect the log. A line that can't be written at
+once is dropped and counted, and the count is logged once lines can be written again."""
 
 import os
 import select
 import stat
 
-LONGEST_BYTES = select.PIPE_BUF  # what a pipe that is ready takes without waiting
+MAX_LINE_BYTES = select.PIPE_BUF  # what a writable pipe accepts without blocking
 
 
 class LogSink:
-    """A file for `structlog.WriteLoggerFactory`. Never raises OSError, and never waits for a pipe's reader."""
+    """A file for `structlog.WriteLoggerFactory`. Never raises OSError and never waits for a pipe's reader."""
 
     def __init__(self, stream):
         self.stream, self.dropped = stream, 0
@@ -19,7 +19,7 @@
 
     @staticmethod
     def pipe_of(stream):
-        """The descriptor of a stream that writes to a pipe; None for all others, which never keep a writer waiting."""
+        """-> the descriptor if the stream writes to a pipe; None for all others, which never block."""
         try:
             descriptor = stream.fileno()
             return descriptor if stat.S_ISFIFO(os.fstat(descriptor).st_mode) else None
@@ -27,11 +27,12 @@
             return None
 
     def ready(self):
+        """Whether a line can be written without blocking."""
         if self.pipe is None:
             return True
-        waits = select.poll()
-        waits.register(self.pipe, select.POLLOUT)
-        return bool(waits.poll(0))
+        poller = select.poll()
+        poller.register(self.pipe, select.POLLOUT)
+        return bool(poller.poll(0))
 
     def write(self, text):
         try:
@@ -45,14 +46,15 @@
             self.dropped += 1
 
     def put(self, text):
+        """Writes one line."""
         if self.pipe is None:
             self.stream.write(text)
             return self.stream.flush()
-        # Past the stream's own buffer: what that keeps of a failed line would come with the next one, or block it.
+        # Bypasses the stream's own buffer, where the rest of a failed line would precede or block the next one.
         data = text.encode("utf-8", "backslashreplace")
-        if len(data) > LONGEST_BYTES:
-            data = data[: LONGEST_BYTES - 1] + b"\n"
+        if len(data) > MAX_LINE_BYTES:
+            data = data[: MAX_LINE_BYTES - 1] + b"\n"
         os.write(self.pipe, data)
 
     def flush(self):
-        """Each line is flushed as it is written."""
+        """Nothing to do: each line is flushed when it is written."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from lapiswing.interface import Server
 from lapiswing.membership import Membership
-from lapiswing.membership.merge import ADMIT, Limits
+from lapiswing.membership.merge import ADMIT_BURST, Limits
 
 S = 1_000_000
 
@@ -161,7 +161,7 @@
     flood = [row(f"b{i:04d}", kind=0 if i < 1900 else 1, zone=i % 2) for i in range(2000)]
     events = [m.update_records("sd", flood, 0)]
     first = [r for n, r in m.published.items() if n != "listed"]
-    assert len(first) == ADMIT and {(r.kind, r.zone) for r in first} == {(k, z) for k in (0, 1) for z in (0, 1)}
+    assert len(first) == ADMIT_BURST and {(r.kind, r.zone) for r in first} == {(k, z) for k in (0, 1) for z in (0, 1)}
     now = 0
     while len(m.published) < 2000 and now < 100 * S:
         now += 200_000
@@ -192,7 +192,7 @@
         last["list", "always"] = last["sd", "always"] = "ready"
 
     def apply(order):
-        m = Membership(Limits(doubt_us=0, gone_us=0))
+        m = Membership(Limits(suspicion_us=0, gone_us=0))
         boxes = {b for _, b in last}
         m.update_list([row(b) for b in sorted(boxes)], 0)  # known to begin with, so that words of boxes and operators count
         for source in order:
