--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -1,4 +1,4 @@
-"""Helper of the tests of the platform's door: a gateway and the platform's stand-ins on one loop, and raw clients."""
+"""Test harness for the platform adapter: a gateway and stand-ins for the platform on one loop, and raw HTTP clients."""
 
 import json
 import socket
@@ -68,7 +68,7 @@
 
 
 class RecordingLog:
-    """Collects log lines."""
+    """A log that collects (event, fields)."""
 
     def __init__(self):
         self.lines = []
@@ -80,7 +80,7 @@
 
 
 class PlatformHarness:
-    """`with PlatformHarness(folder, roles) as harness`."""
+    """A gateway, its model servers and discovery. Use: `with PlatformHarness(folder, roles) as harness`."""
 
     def __init__(self, folder, roles=("read", "write", "write"), sockets=256, loop=None, known=True, log=None):
         self.loop = loop or Loop(Clock())
@@ -111,36 +111,39 @@
         self.platform.close()
         self.loop.close()
 
-    def until(self, done, most_us=8_000_000):
-        assert self.loop.run_until(done, most_us), "it did not come about"
+    def until(self, done, max_us=8_000_000):
+        """Runs the loop until `done()` is true; fails after `max_us`."""
+        assert self.loop.run_until(done, max_us), "the condition did not become true in time"
 
     def client(self, data=b""):
+        """-> a new connection to the gateway."""
         return Client(self, data)
 
     def ask(self, rid, body=BODY, **fields):
-        """A client's request, sent on a connection of its own."""
+        """-> a new connection on which one request has been sent."""
         return self.client(head(rid, body, **fields) + body)
 
     def record_deadlines(self):
-        """-> a list that gets (seconds told, when it came) of each attempt from now on."""
-        told = []
+        """-> a list to which (deadline in s, time of arrival in us) of each attempt is added from now on."""
+        deadlines = []
 
         def record(exchange):
             if exchange.method == b"POST":
-                told.append((float(exchange.header(b"req-deadline")), self.loop.clock.now_us()))
+                deadlines.append((float(exchange.header(b"req-deadline")), self.loop.clock.now_us()))
 
         for server in self.platform.servers.values():
             server.fault = record
-        return told
+        return deadlines
 
     def wait_settled(self):
-        """Nothing is open or held any more."""
+        """Waits until no request and no release is open, and checks that servers hold no state."""
         self.until(lambda: not self.core.reqs and not self.node.servers.releasing)
         assert not any(s.states for s in self.platform.servers.values())
 
 
 def head(rid, body=BODY, path="/v1/chat/completions", method="POST", **fields):
-    named = {
+    """-> the bytes of a request head; keyword arguments replace header fields, None removes one."""
+    headers = {
         "Req-Id": rid,
         "Req-Kind": "chat",
         "Req-Key": "k1",
@@ -148,13 +151,13 @@
         "Req-Extra": "prefix=p1,prompt_len=100,prefix_len=40,max_out=50",
         "Content-Length": str(len(body)),
     }
-    named |= {k.replace("_", "-"): v for k, v in fields.items()}
-    lines = "".join(f"{k}: {v}\r\n" for k, v in named.items() if v is not None)
+    headers |= {k.replace("_", "-"): v for k, v in fields.items()}
+    lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if v is not None)
     return f"{method} {path} HTTP/1.1\r\nHost: app.svc\r\n{lines}\r\n".encode()
 
 
 class Client:
-    """A connection to the gateway, read on the test's own loop."""
+    """A client's connection to the gateway, driven by the test."""
 
     def __init__(self, harness, data=b""):
         self.harness, self.got, self.closed = harness, b"", False
@@ -169,6 +172,7 @@
         self.sock.setblocking(False)
 
     def receive(self):
+        """-> everything received so far."""
         try:
             while not self.closed:
                 data = self.sock.recv(65536)
@@ -186,23 +190,24 @@
         return int(self.got[9:12]) if len(self.got) > 12 else None
 
     def ended(self):
-        """A whole answer is in, or the connection has ended."""
+        """Whether a complete answer has been received or the connection has ended."""
         got = self.receive()
-        first, _, body = got.partition(b"\r\n\r\n")
+        head_bytes, _, body = got.partition(b"\r\n\r\n")
         if self.closed:
             return True
-        if b"chunked" in first:
+        if b"chunked" in head_bytes:
             return body.endswith(b"0\r\n\r\n")
-        length = first.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
+        length = head_bytes.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
         return bool(length) and len(body) >= int(length)
 
     def wait_answer(self):
+        """Runs the loop until the answer is complete. -> self"""
         self.harness.until(self.ended)
         return self
 
     @property
     def body(self):
-        """The chunked body put together."""
+        """The decoded chunked body."""
         rest, out = self.receive().partition(b"\r\n\r\n")[2], b""
         while rest:
             size, _, rest = rest.partition(b"\r\n")
--- a/tests/test_concurrent_list_change.py
+++ b/tests/test_concurrent_list_change.py
@@ -7,8 +7,8 @@
 from lapiswing.node.discovery import LIST_DECODER
 
 
-def take_list_without(harness, server):
-    """The whole list without one server, in this very moment and before the decisions' next turn."""
+def apply_list_without(harness, server):
+    """Applies a whole list without one server at once, before the router's next turn."""
     row = harness.platform.remove(server)
     known = harness.platform.discovery.whole()
     known["endpoints"] = [e for e in known["endpoints"] if e["name"] != row["name"]]
@@ -16,31 +16,31 @@
     harness.node.on_list_change()
 
 
-@pytest.mark.parametrize("leaver", [0, 1])
-@pytest.mark.parametrize("then", ["at arrival", "at the read's end"])
-def test_a_server_leaves_in_the_turn_in_which_an_attempt_is_chosen(tmp_path, leaver, then):
+@pytest.mark.parametrize("leaving_index", [0, 1])
+@pytest.mark.parametrize("then", ["at arrival", "when the prefill ends"])
+def test_a_server_leaves_in_the_turn_in_which_an_attempt_is_chosen(tmp_path, leaving_index, then):
     roles = ("read", "read", "write") if then == "at arrival" else ("read", "write", "write")
     with PlatformHarness(tmp_path, roles) as harness:
         role = "read" if then == "at arrival" else "write"
-        leaving = [s for s in harness.platform.servers.values() if s.role == role][leaver]
+        leaving = [s for s in harness.platform.servers.values() if s.role == role][leaving_index]
         name = leaving.name
         if then == "at arrival":
-            take = harness.core.enqueue
+            enqueue = harness.core.enqueue
 
-            def ask(req, bits):
-                harness.core.enqueue = take
-                take(req, bits)
-                take_list_without(harness, leaving)
+            def enqueue_and_change(req, bits):
+                harness.core.enqueue = enqueue
+                enqueue(req, bits)
+                apply_list_without(harness, leaving)
 
-            harness.core.enqueue = ask
+            harness.core.enqueue = enqueue_and_change
         else:
-            outcome = harness.core.attempt_ended
+            attempt_ended = harness.core.attempt_ended
 
             def ended(req, rid, number, out, code, remark, report):
-                outcome(req, rid, number, out, code, remark, report)
+                attempt_ended(req, rid, number, out, code, remark, report)
                 if code == "read":
-                    harness.core.attempt_ended = outcome
-                    take_list_without(harness, leaving)
+                    harness.core.attempt_ended = attempt_ended
+                    apply_list_without(harness, leaving)
 
             harness.core.attempt_ended = ended
         client = harness.ask("r1")
@@ -49,26 +49,26 @@
         assert not harness.core.counts["faults"]
         assert (
             name not in harness.core.router.table.rows.index_of and name not in harness.core.router.table.columns.index_of
-        )  # the news has been heard
+        )  # the change has been applied
         assert not client.wait_answer().truncated
         harness.wait_settled()
-        assert name not in harness.core.kinds  # and nothing of it is kept
+        assert name not in harness.core.kinds  # and nothing about it is kept
 
 
-def test_a_fault_in_the_decisions_loses_no_news_behind_it(tmp_path):
+def test_an_exception_in_the_router_loses_no_event_behind_it(tmp_path):
     with PlatformHarness(tmp_path, ("read", "read", "write")) as harness:
         leaving = next(iter(harness.platform.servers.values()))
-        take, on_req = harness.core.enqueue, harness.core.router.on_req
+        enqueue, on_req = harness.core.enqueue, harness.core.router.on_req
 
-        def ask(req, bits):
-            take(req, bits)
-            take_list_without(harness, leaving)
+        def enqueue_and_change(req, bits):
+            enqueue(req, bits)
+            apply_list_without(harness, leaving)
 
         def fail(*fields):
-            harness.core.enqueue, harness.core.router.on_req = take, on_req
-            raise ZeroDivisionError("a fault")
+            harness.core.enqueue, harness.core.router.on_req = enqueue, on_req
+            raise ZeroDivisionError("raised by the test")
 
-        harness.core.enqueue, harness.core.router.on_req = ask, fail
+        harness.core.enqueue, harness.core.router.on_req = enqueue_and_change, fail
         client = harness.ask("r1", Req_Deadline="0.300")
         harness.until(lambda: harness.core.counts["faults"])
         assert leaving.name not in harness.core.router.table.rows.index_of
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors run short: nothing of the program's own is lost, and no server is blamed for it."""
+"""Shortage of file descriptors: the program keeps working, and no server is blamed for it."""
 
 import errno
 import json
@@ -13,8 +13,7 @@
 from platform_harness import BODY, PlatformHarness, RecordingLog, head
 
 from lapiswing.http1 import Pool
-from lapiswing.loop import Clock, Listener, Loop, free_ports, listen_socket
-from lapiswing.loop import net
+from lapiswing.loop import Clock, Listener, Loop, free_ports, listen_socket, net
 
 MS, S = 1000, 1_000_000
 
@@ -36,7 +35,7 @@
         self.ends.append(stage)
 
 
-def test_the_pool_never_opens_more_than_it_may():
+def test_the_pool_never_exceeds_its_total_limit():
     loop = Loop(Clock())
     listeners = [
         Listener(loop, listen_socket("127.0.0.1", 0), lambda stream, peer: setattr(stream, "owner", RecordingLog()))
@@ -55,7 +54,7 @@
     loop.close()
 
 
-def test_no_descriptor_for_an_attempt_is_pushed_back_and_blames_no_server(tmp_path, monkeypatch):
+def test_an_attempt_without_a_descriptor_is_rejected_and_no_server_is_blamed(tmp_path, monkeypatch):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
 
         def none(*args):
@@ -78,7 +77,7 @@
         harness.wait_settled()
 
 
-def test_a_listener_without_any_descriptor_rests_and_comes_back(monkeypatch):
+def test_a_listener_without_any_descriptor_pauses_and_recovers(monkeypatch):
     loop, seen = Loop(Clock()), []
     listener = Listener(
         loop, listen_socket("127.0.0.1", 0), lambda stream, peer: (seen.append(stream), setattr(stream, "owner", RecordingLog()))
@@ -96,23 +95,23 @@
         def __getattr__(self, name):
             return getattr(self.sock, name)
 
-    near, listener.sock = socket.create_connection(listener.address), Full(listener.sock)
+    client, listener.sock = socket.create_connection(listener.address), Full(listener.sock)
     loop.run_until(lambda: False, 350 * MS)
     assert loop.turns < 40  # it does not spin
     listener.sock = listener.sock.sock
     assert loop.run_until(lambda: seen, S) and listener.spare_descriptor is not None
-    near.close()
+    client.close()
     listener.close()
     loop.close()
 
 
-def test_what_the_process_may_open_counts_where_it_is_less_than_configured(tmp_path, monkeypatch):
+def test_the_process_limit_applies_where_it_is_below_the_configured_one(tmp_path, monkeypatch):
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 128))
     with PlatformHarness(tmp_path, sockets=4096) as harness:
         assert harness.node.clients + harness.node.pool.max_total < 128
 
 
-def test_room_is_not_made_by_cutting_an_answer_that_a_slow_client_still_takes(tmp_path, monkeypatch):
+def test_room_is_not_made_by_truncating_an_answer_to_a_slow_client(tmp_path, monkeypatch):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         (server,) = harness.platform.servers.values()
         monkeypatch.setattr(server, "event", lambda number: b'data: {"choices": [], "pad": "%b"}\n\n' % (b"x" * 20_000))
@@ -123,15 +122,15 @@
         conn.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(head("a1") + BODY)
         harness.until(lambda: conn.served and conn.phase == "idle")
-        assert conn.stream.unsent_bytes  # the answer's end is not with the kernel yet
+        assert conn.stream.unsent_bytes  # the kernel has not accepted the end of the answer yet
         harness.node.server.make_room()
         assert client.wait_answer().got.endswith(b"0\r\n\r\n") and not client.truncated
         harness.wait_settled()
 
 
-@pytest.mark.parametrize("kind", ["say nothing", "asked once"])
-def test_idle_clients_fill_the_table_while_discovery_is_down(tmp_path, kind):
-    """A process of its own with the very limit that it is configured for."""
+@pytest.mark.parametrize("kind", ["silent", "one request"])
+def test_idle_clients_use_all_descriptors_while_discovery_is_down(tmp_path, kind):
+    """A separate process whose descriptor limit equals its configured limit."""
     sockets = 160
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         (port,) = free_ports(1)
@@ -153,11 +152,11 @@
             harness.until(lambda: "listening" in (tmp_path / "log").read_text(), 20 * S)
             assert harness.ask("a0").wait_answer().status == 200
             harness.loop.run_until(lambda: False, 200 * MS)
-            own = len(os.listdir(f"/proc/{program.pid}/fd"))
+            initial = len(os.listdir(f"/proc/{program.pid}/fd"))
             discovery, old = harness.platform.discovery, harness.platform.servers["s-1"]
             discovery.silent = True
             discovery.waiting.clear()
-            ask = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n" if kind == "asked once" else b""
+            ask = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n" if kind == "one request" else b""
             idle = [harness.client(ask) for _ in range(2 * sockets)]
             harness.loop.run_until(lambda: False, S)
             assert len(os.listdir(f"/proc/{program.pid}/fd")) <= sockets
@@ -167,11 +166,11 @@
             old.status = "DRAINING"
             discovery.tell(old.row(), new.row())
             began = harness.loop.clock.now_us()
-            asked = [0]
+            requests = [0]
 
             def served():
-                asked[0] += 1
-                client = harness.ask(f"b{asked[0]}")
+                requests[0] += 1
+                client = harness.ask(f"b{requests[0]}")
                 status = client.wait_answer().status
                 client.close()
                 return status == 200 and any(row[0] == new.name for row in harness.platform.seen(b"POST"))
@@ -184,7 +183,7 @@
             assert len([row for row in harness.platform.seen(b"POST") if row[0] == old.name]) == before
             for client in idle + more:
                 client.close()
-            harness.until(lambda: len(os.listdir(f"/proc/{program.pid}/fd")) <= own + 6, 8 * S)
+            harness.until(lambda: len(os.listdir(f"/proc/{program.pid}/fd")) <= initial + 6, 8 * S)
             program.send_signal(signal.SIGTERM)
             assert program.wait(10) == 0
         finally:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,5 @@
-"""Two endings that cross: a signal in a drain, a server that drains while the gateway stops, a hung server beside both.
-docs/endings.md has the whole table."""
+"""Shutdowns that coincide: a signal during a drain, a server that drains or fails while the gateway stops. docs/endings.md has
+the whole table."""
 
 import pytest
 from platform_harness import PlatformHarness
@@ -31,7 +31,7 @@
 
 
 def at_stage(harness, stage):
-    """Asks, and returns the client once its request has reached the stage, where it stays for some time."""
+    """Sends a request. -> the client, once its request has reached the stage, where it stays for some time."""
     reader, *writers = harness.platform.servers.values()
     if stage == "prefill runs":
         reader.read_us = 200 * MS
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("signals", SIGNALS)
 @pytest.mark.parametrize("stage", STAGES)
-def test_what_was_taken_is_served_whatever_signals_come(harness, stage, signals):
+def test_accepted_requests_are_served_whatever_signals_arrive(harness, stage, signals):
     client = at_stage(harness, stage)
     signals(harness)
     assert not client.wait_answer().truncated
@@ -71,38 +71,38 @@
 
 
 @pytest.mark.parametrize("signals", SIGNALS)
-def test_a_server_that_drains_while_the_gateway_stops_gets_nothing_new(harness, signals):
-    """The list is followed up to the end, also over a reload in the drain."""
+def test_a_server_that_drains_while_the_gateway_stops_gets_no_new_request(harness, signals):
+    """The list is updated until the end, also after a reload during the drain."""
     client = at_stage(harness, "prefill runs")
     signals(harness)
-    leaver, other = [s for s in harness.platform.servers.values() if s.role == "write"]
-    leaver.status = "DRAINING"
-    harness.platform.discovery.tell(leaver.row())
-    harness.until(lambda: harness.node.server_list.rows[leaver.name].mode == "draining", 1_500 * MS)
+    draining, other = [s for s in harness.platform.servers.values() if s.role == "write"]
+    draining.status = "DRAINING"
+    harness.platform.discovery.tell(draining.row())
+    harness.until(lambda: harness.node.server_list.rows[draining.name].mode == "draining", 1_500 * MS)
     assert not client.wait_answer().truncated
-    assert client.status == 200 and not leaver.seen and other.seen
+    assert client.status == 200 and not draining.seen and other.seen
     harness.until(lambda: harness.stopped)
 
 
 @pytest.mark.parametrize("silent_first", [True, False])
-def test_a_drain_told_while_the_watch_is_silent_is_heard_after_a_reload(harness, silent_first):
-    leaver, other = [s for s in harness.platform.servers.values() if s.role == "write"]
+def test_a_drain_announced_while_the_watch_is_silent_is_noticed_after_a_reload(harness, silent_first):
+    draining, other = [s for s in harness.platform.servers.values() if s.role == "write"]
     harness.until(lambda: harness.platform.discovery.waiting)
     if silent_first:
         harness.platform.discovery.silent = True
-    harness.platform.discovery.waiting.clear()  # the open watch is answered nothing more
-    leaver.status = "DRAINING"
-    harness.platform.discovery.tell(leaver.row())
+    harness.platform.discovery.waiting.clear()  # the open watch gets no answer any more
+    draining.status = "DRAINING"
+    harness.platform.discovery.tell(draining.row())
     harness.platform.discovery.silent = False
     harness.node.reload()
-    harness.until(lambda: harness.node.server_list.rows[leaver.name].mode == "draining", 1_000 * MS)
+    harness.until(lambda: harness.node.server_list.rows[draining.name].mode == "draining", 1_000 * MS)
     client = harness.ask("a1")
     harness.until(lambda: client.status)
-    assert client.status == 200 and not leaver.seen and other.seen
+    assert client.status == 200 and not draining.seen and other.seen
 
 
 @pytest.mark.parametrize("how", ["hangs", "resets"])
-def test_a_server_that_fails_while_the_gateway_stops_costs_a_further_attempt(harness, how):
+def test_a_server_that_fails_while_the_gateway_stops_leads_to_another_attempt(harness, how):
     first = []
 
     def fault(exchange):
@@ -124,17 +124,17 @@
     harness.wait_settled()
 
 
-def test_the_decisions_hear_a_time_out_before_the_guard_behind_them_answers(tmp_path):
-    """Seen in the soak: an attempt's time-out and the guard of the same request, 0.7 ms apart, came up in one turn, and the
-    guard answered 502 for what the decisions reject with 503."""
+def test_the_router_gets_a_time_out_before_the_backstop_answers(tmp_path):
+    """An attempt's time-out and the backstop of the same request, 0.7 ms apart, may be due in the same turn. The backstop then
+    answered 502 for a request that the router rejects with 503."""
     with PlatformHarness(tmp_path, ("both",)) as harness:
         (server,) = harness.platform.servers.values()
-        server.fault = lambda exchange: exchange.method == b"POST"  # takes it and says nothing
+        server.fault = lambda exchange: exchange.method == b"POST"  # accepts the request and does not answer
         client = harness.ask("a1", Req_Deadline="0.300")
         harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].attempts)
         (request,) = harness.core.reqs.values()
         while harness.loop.clock.now_us() < request.expires_us:
-            pass  # the machine is busy elsewhere, for the rest of its time
+            pass  # the machine is busy until the request's time has expired
         assert client.wait_answer().status == 503
         assert not harness.core.counts["backstop"]
         harness.wait_settled()
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, for reasons of the own machine."""
+"""System calls that fail temporarily for reasons of this machine."""
 
 import errno
 import os
@@ -15,7 +15,7 @@
 
 
 class Failing:
-    """A socket whose named calls raise, one error a call, in this order, before they work again."""
+    """A socket whose named calls raise the given errors, one per call, and then work again."""
 
     def __init__(self, sock, **errors):
         self.sock, self.errors = sock, {name: list(codes) for name, codes in errors.items()}
@@ -31,22 +31,22 @@
         return getattr(self.sock, name)
 
 
-def listening(loop, most=100):
+def listening(loop, max_connections=100):
     seen = []
     listener = Listener(
         loop,
         listen_socket("127.0.0.1", 0),
         lambda stream, peer: (seen.append(stream), setattr(stream, "owner", RecordingLog())),
-        max_connections=most,
+        max_connections=max_connections,
     )
     return listener, seen
 
 
-MOMENTARY = ("ECONNABORTED", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EPERM", "ENOBUFS", "ENOMEM")
+TEMPORARY = ("ECONNABORTED", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EPERM", "ENOBUFS", "ENOMEM")
 
 
-@pytest.mark.parametrize("name", MOMENTARY)
-def test_one_failed_accept_costs_none_of_the_connections_behind_it_as_the_port_closes(name):
+@pytest.mark.parametrize("name", TEMPORARY)
+def test_a_failed_accept_affects_no_connection_behind_it_when_the_port_closes(name):
     loop = Loop(Clock())
     listener, seen = listening(loop)
     clients = [socket.create_connection(listener.address) for _ in range(3)]
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("name", ["EMFILE", "ENFILE"])
-def test_what_waits_is_answered_as_the_port_closes_where_no_descriptor_is_left(name):
-    """The spare descriptor serves for a refusal; a lack that passes costs none behind it."""
+def test_queued_connections_are_answered_when_the_port_closes_without_a_free_descriptor(name):
+    """The spare descriptor is used to refuse one; a temporary shortage does not affect those behind it."""
     loop, code = Loop(Clock()), getattr(errno, name)
     listener, seen = listening(loop)
     clients = [socket.create_connection(listener.address) for _ in range(4)]
@@ -75,8 +75,8 @@
     loop.close()
 
 
-def test_what_waits_is_answered_as_the_port_closes_where_the_table_is_full(tmp_path):
-    """Room is looked for once a turn only; what has no place is refused, and not reset by the port's end."""
+def test_queued_connections_are_answered_when_the_port_closes_at_the_connection_limit(tmp_path):
+    """Room is made at most once a turn; connections beyond the limit are refused, not reset by closing the port."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         harness.node.listener.max_connections = 4
         kept = [harness.ask(f"a{i}").wait_answer() for i in range(4)]
@@ -91,7 +91,7 @@
             client.close()
 
 
-def test_accepts_that_fail_for_long_do_not_spin():
+def test_an_accept_that_keeps_failing_does_not_spin():
     loop = Loop(Clock())
     listener, seen = listening(loop)
     client = socket.create_connection(listener.address)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("name", ["ENOBUFS", "ENOMEM"])
-def test_an_event_that_the_machine_has_no_memory_for_goes_out_a_moment_later(tmp_path, name):
+def test_an_event_is_sent_again_after_a_lack_of_memory(tmp_path, name):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         client = harness.client()
         harness.until(lambda: harness.node.server.connections)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("name", ["ENOBUFS", "ENOMEM"])
-def test_a_read_that_the_machine_has_no_memory_for_is_tried_again(tmp_path, name):
+def test_a_read_is_repeated_after_a_lack_of_memory(tmp_path, name):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         client = harness.client()
         harness.until(lambda: harness.node.server.connections)
@@ -130,8 +130,8 @@
         harness.wait_settled()
 
 
-class Ports:
-    """While `short` is an error, no connection can be opened from this machine."""
+class LocalPorts:
+    """While `code` is set, every attempt to connect from this machine fails with it."""
 
     def __init__(self, monkeypatch, code):
         self.code = code
@@ -144,7 +144,7 @@
         monkeypatch.setattr(net.socket, "socket", Socket)
 
 
-def remembered(router):
+def recorded_failures(router):
     return (
         {m.id: (round(m.failure_score, 6), m.ejected) for m in router.servers.values()},
         dict(router.unreachable_by_zone),
@@ -153,29 +153,29 @@
 
 
 @pytest.mark.parametrize("name", ["EADDRNOTAVAIL", "ENOBUFS", "ENETUNREACH", "ENOMEM", "ENFILE"])
-def test_while_no_connection_can_be_opened_here_requests_wait_and_no_server_is_blamed(tmp_path, monkeypatch, name):
+def test_while_this_machine_can_not_connect_requests_wait_and_no_server_is_blamed(tmp_path, monkeypatch, name):
     with PlatformHarness(tmp_path, ("read", "read", "write", "write")) as harness:
         assert harness.ask("a0").wait_answer().status == 200
         harness.wait_settled()
         for conn in list(harness.node.pool.all):
             conn.stream.abort()
-        ports, before = Ports(monkeypatch, getattr(errno, name)), remembered(harness.core.router)
+        ports, before = LocalPorts(monkeypatch, getattr(errno, name)), recorded_failures(harness.core.router)
         clients = [harness.ask(f"b{i}") for i in range(40)]
         harness.until(lambda: len(harness.core.reqs) == 40)
         harness.loop.run_until(lambda: False, 600 * MS)
-        assert not any(client.receive() for client in clients)  # none is rejected while it has time
-        assert remembered(harness.core.router) == before
+        assert not any(client.receive() for client in clients)  # none is rejected while it still has time
+        assert recorded_failures(harness.core.router) == before
         ports.code = None
         for client in clients:
             assert client.wait_answer().status == 200 and not client.truncated
-        assert remembered(harness.core.router)[:2] == before[:2]
+        assert recorded_failures(harness.core.router)[:2] == before[:2]
         harness.wait_settled()
 
 
-def test_what_can_not_be_sent_from_here_in_its_time_is_rejected_and_releases_its_state(tmp_path, monkeypatch):
-    """The trouble begins between prefill and decode: the state may not be held for longer than its time."""
+def test_a_request_that_can_not_be_sent_in_time_is_rejected_and_its_state_released(tmp_path, monkeypatch):
+    """Connecting fails from after the prefill on: the state must not be held beyond its time."""
     with PlatformHarness(tmp_path, ("read", "write")) as harness:
-        ports = Ports(monkeypatch, None)
+        ports = LocalPorts(monkeypatch, None)
         reader = harness.platform.servers["s-1"]
         client = harness.ask("a1")
         harness.until(lambda: reader.seen)
@@ -193,7 +193,7 @@
     with PlatformHarness(tmp_path, ("both",)) as harness:
         (old,) = harness.platform.servers.values()
         harness.until(lambda: harness.platform.discovery.waiting)
-        ports = Ports(monkeypatch, errno.EADDRNOTAVAIL)
+        ports = LocalPorts(monkeypatch, errno.EADDRNOTAVAIL)
         client = harness.ask("a1")
         harness.until(lambda: harness.core.reqs and harness.core.reqs["a1"].attempts)
         new = harness.platform.add("both")
@@ -207,8 +207,8 @@
         harness.wait_settled()
 
 
-def test_the_tables_name_every_error_of_the_manual_pages():
-    """accept(2), connect(2) and socket(2), without those that a program's own mistakes give and what Python repeats itself."""
+def test_the_tables_cover_every_error_of_the_manual_pages():
+    """accept(2), connect(2) and socket(2), without errors caused by programming mistakes and those that Python handles."""
     accept = {
         "ECONNABORTED",
         "EMFILE",
@@ -226,7 +226,7 @@
         "ENETUNREACH",
     }
     assert not [name for name in accept if getattr(errno, name) not in errnos.ACCEPT]
-    own = {
+    local = {
         "EACCES",
         "EPERM",
         "EADDRINUSE",
@@ -240,29 +240,29 @@
         "ENOMEM",
         "EPROTONOSUPPORT",
     }
-    assert not [name for name in own if errnos.connect_error_cause(getattr(errno, name)) is errnos.Cause.PEER]
+    assert not [name for name in local if errnos.connect_error_cause(getattr(errno, name)) is errnos.Cause.PEER]
     peer = {"ECONNREFUSED", "ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}
     assert {errnos.connect_error_cause(getattr(errno, name)) for name in peer} == {errnos.Cause.PEER}
     assert {errnos.transfer_error_cause(getattr(errno, name)) for name in peer | {"EPIPE"}} == {errnos.Cause.PEER}
 
 
-def deaf_to(monkeypatch, address, code):
-    """Connections to one address fail at once, as where its network has no route from here."""
+def unreachable(monkeypatch, address, code):
+    """Connections to one address fail at once, as without a route to its network."""
     real = socket.socket
 
     class Socket(real):
-        def connect_ex(self, to):
-            return code if to == address else super().connect_ex(to)
+        def connect_ex(self, target):
+            return code if target == address else super().connect_ex(target)
 
     monkeypatch.setattr(net.socket, "socket", Socket)
 
 
 @pytest.mark.parametrize("name", ["ENETUNREACH", "EPERM", "EADDRNOTAVAIL"])
-def test_a_single_server_that_can_not_be_reached_from_here_costs_a_moment_and_not_the_request(tmp_path, monkeypatch, name):
+def test_a_single_server_without_a_route_delays_a_request_but_does_not_fail_it(tmp_path, monkeypatch, name):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         one, other = harness.platform.servers.values()
         host, port = one.address.rsplit(":", 1)
-        deaf_to(monkeypatch, (host, int(port)), getattr(errno, name))
+        unreachable(monkeypatch, (host, int(port)), getattr(errno, name))
         began_us = harness.loop.clock.now_us()
         for i in range(6):
             client = harness.ask(f"a{i}")
@@ -272,16 +272,16 @@
         harness.wait_settled()
 
 
-def test_connections_that_fail_now_and_then_are_no_common_trouble(tmp_path, monkeypatch):
-    """Each is tried again at once, nobody is told, and no age of an attempt starts anew."""
+def test_occasional_failures_to_connect_are_not_treated_as_widespread(tmp_path, monkeypatch):
+    """Each is retried at once, nothing is logged, and no attempt's time starts anew."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
-        tries = [0]
+        attempts = [0]
         real = socket.socket
 
         class Socket(real):
             def connect_ex(self, address):
-                tries[0] += 1
-                return errno.EADDRNOTAVAIL if tries[0] % 2 else super().connect_ex(address)
+                attempts[0] += 1
+                return errno.EADDRNOTAVAIL if attempts[0] % 2 else super().connect_ex(address)
 
         monkeypatch.setattr(net.socket, "socket", Socket)
         clients = [harness.ask(f"a{i}") for i in range(20)]
@@ -291,7 +291,7 @@
         harness.wait_settled()
 
 
-def test_a_fault_of_accept_does_not_keep_the_port_from_closing():
+def test_an_internal_error_of_accept_does_not_keep_the_port_from_closing():
     loop = Loop(Clock())
     listener, _ = listening(loop)
     listener.sock = Failing(listener.sock, accept=[errno.EINVAL] * 2)
@@ -301,7 +301,7 @@
     loop.close()
 
 
-def test_each_stage_of_a_failed_exchange_has_its_outcome_on_both_wires():
+def test_each_stage_of_a_failed_exchange_maps_to_the_same_outcome_in_both_protocols():
     stages = {"local": "moot", "no route": "no_way", "connect": "unreachable", "unsent": "unreachable"}
     may_have_run = dict.fromkeys(("sent", "head", "body"), "reset")
     for table in (engine_outcomes, node_outcomes):
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Request shapes against the gateway's own port (RFC 9112), and the loop's own guards."""
+"""Valid and invalid HTTP/1.1 requests (RFC 9112) on the gateway's port, and limits on connections and descriptors."""
 
 import os
 import resource
@@ -25,7 +25,7 @@
     "coding twice": (POST + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n", 501),
     "chunked in 1.0": (POST.replace(b"1.1", b"1.0") + b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
     "bad chunk size": (POST + b"Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", 400),
-    "chunk longer than said": (POST + b"Transfer-Encoding: chunked\r\n\r\n3\r\nhello\r\n0\r\n\r\n", 400),
+    "chunk longer than its size": (POST + b"Transfer-Encoding: chunked\r\n\r\n3\r\nhello\r\n0\r\n\r\n", 400),
     "HTTP/2 preface": (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400),
     "not HTTP": (b"\x16\x03\x01\x02\x00\x01\r\n\r\n", 400),
     "long head": (GET + b"X: " + b"a" * 40000 + b"\r\n\r\n", 431),
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_what_is_refused(place, name):
+def test_invalid_requests_are_refused(place, name):
     data, want = BAD[name]
     before = len(place.rows("arrive"))
     got = RawClient(place, data).until()
@@ -62,7 +62,7 @@
     assert len(place.rows("arrive")) == before
 
 
-def test_no_status_says_come_again_where_that_is_useless(place):
+def test_a_successful_answer_has_no_retry_header(place):
     assert b"x-should-retry" not in RawClient(place, post(chat())).until()
 
 
@@ -76,7 +76,7 @@
     assert got.index(b'"list"') < got.index(b'"chat.completion"') < got.rindex(b'"list"') < got.index(b"[DONE]")
 
 
-def test_a_request_byte_by_byte(place):
+def test_a_request_that_arrives_byte_by_byte_is_answered(place):
     raw = RawClient(place)
     for byte in post(chat(tokens=2)):
         raw.sock.send(bytes([byte]))
@@ -84,12 +84,12 @@
     assert raw.until().endswith(b"data: [DONE]\n\n\r\n0\r\n\r\n")
 
 
-def test_head_has_no_body(place):
+def test_an_answer_to_head_has_no_body(place):
     got = RawClient(place, GET.replace(b"GET", b"HEAD") + b"Connection: close\r\n\r\n").until()
     assert status(got) == 200 and got.endswith(b"\r\n\r\n") and b"content-length: 0" not in got
 
 
-def test_expect_100(place):
+def test_expect_100_continue(place):
     head, body = post(chat(tokens=2)).split(b"\r\n\r\n", 1)
     raw = RawClient(place, head + b"\r\nExpect: 100-continue\r\n\r\n")
     raw.until(lambda got: got == b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -97,24 +97,24 @@
     assert b"[DONE]" in raw.until()
 
 
-def test_a_client_of_the_old_version_gets_an_end_by_close(place):
+def test_an_answer_to_http_1_0_ends_with_the_connection(place):
     got = RawClient(place, post(chat(tokens=2)).replace(b"HTTP/1.1", b"HTTP/1.0")).until()
     assert b"transfer-encoding" not in got and got.endswith(b"data: [DONE]\n\n")
 
 
-def test_slow_heads_are_ended():
+def test_a_slow_head_times_out():
     with GatewaySite(listen="head_ms: 200") as place:
         assert status(RawClient(place, b"GET / HTTP/1.1\r\nHos").until()) == 408
 
 
-def test_no_descriptor_left_ends_neither_loop_nor_service():
+def test_running_out_of_descriptors_stops_neither_the_loop_nor_the_service():
     with GatewaySite() as place:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         try:
             raws = [RawClient(place) for _ in range(3)]
             place.turn_for(30)
-            # From here on nothing can be opened: the waiting ones are accepted on the spare one and closed.
-            late = [socket_of(place) for _ in range(3)]
+            # From here on nothing can be opened: waiting connections are accepted with the spare descriptor and closed.
+            late = [connecting_socket(place) for _ in range(3)]
             lowest = os.dup(0)
             os.close(lowest)
             resource.setrlimit(resource.RLIMIT_NOFILE, (lowest, hard))
@@ -127,7 +127,7 @@
         assert b"[DONE]" in raws[0].until()
 
 
-def socket_of(place):
+def connecting_socket(place):
     import socket
 
     sock = socket.socket()
@@ -136,7 +136,7 @@
     return sock
 
 
-def test_more_connections_than_allowed_are_closed_and_the_others_served():
+def test_connections_beyond_the_limit_are_closed_and_the_others_served():
     with GatewaySite(listen="connections: 3") as place:
         raws = [RawClient(place) for _ in range(3)]
         place.until(lambda: len(place.gateway.server.connections) == 3)
@@ -144,4 +144,4 @@
         extra.until()
         raws[0].sock.sendall(post(chat(tokens=2)))
         assert b"[DONE]" in raws[0].until()
-        assert status(RawClient(place, post(chat(tokens=2))).until()) == 200  # the place of the first is free again
+        assert status(RawClient(place, post(chat(tokens=2))).until()) == 200  # the slot of the first connection is free again
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A client that closes its connection has gone: no attempt for it begins afterwards, at whatever stage its request is."""
+"""Once a client has closed its connection, no further attempt is made for its request, whatever stage it is in."""
 
 import socket
 import struct
@@ -28,11 +28,11 @@
 
 
 def flood(client):
-    """More than is kept of what comes behind an open request, and less than what it is cut off for."""
-    left = memoryview(PIPELINED * (300 * 1024 // len(PIPELINED)))
-    while left:
+    """Sends more than is buffered behind an open request, but less than what gets the connection closed."""
+    unsent = memoryview(PIPELINED * (300 * 1024 // len(PIPELINED)))
+    while unsent:
         try:
-            left = left[client.sock.send(left) :]
+            unsent = unsent[client.sock.send(unsent) :]
         except BlockingIOError:
             client.harness.loop.turn(1000)
 
@@ -42,78 +42,78 @@
     client.close()
 
 
-WAYS = {"FIN": fin, "RST": reset, "behind a pipelined request": behind_pipelined, "behind a flood": behind_a_flood}
+CLOSINGS = {"FIN": fin, "RST": reset, "behind a pipelined request": behind_pipelined, "behind a flood": behind_a_flood}
 
 
 def attempts(harness):
-    """When the last byte of each attempt reached a server."""
-    return [at for s in harness.platform.servers.values() for at, row in zip(s.seen_us, s.seen) if row[0] == b"POST"]
+    """-> when the last byte of each attempt reached a server."""
+    return [at_us for s in harness.platform.servers.values() for at_us, row in zip(s.seen_us, s.seen) if row[0] == b"POST"]
 
 
-def leaves(harness, client, way):
-    """Closes, lets the loop go on past every time-out, and checks that no attempt came more than 50 ms later."""
-    WAYS[way](client)
+def leave_and_check(harness, client, how):
+    """Closes the connection, runs the loop past every time-out and checks that no attempt came more than 50 ms later."""
+    CLOSINGS[how](client)
     left_us = harness.loop.clock.now_us()
     harness.loop.run_until(lambda: False, 220 * MS)
-    late = [at - left_us for at in attempts(harness) if at > left_us + 50 * MS]
+    late = [at_us - left_us for at_us in attempts(harness) if at_us > left_us + 50 * MS]
     assert not late, late
     harness.wait_settled()
 
 
 class LateConnect(http1_client.connect):
-    """A connection that comes up late."""
+    """A connection that is established late."""
 
-    def __init__(self, loop, address, timeout_us, done, **more):
+    def __init__(self, loop, address, timeout_us, done, **options):
         self.late_loop = loop
-        super().__init__(loop, address, timeout_us, done, **more)
+        super().__init__(loop, address, timeout_us, done, **options)
 
     def on_ready(self, mask):
         self.loop.watch(self.sock, 0, None)
-        self.late_loop.call_later(150 * MS, self.come_up, mask)
+        self.late_loop.call_later(150 * MS, self.establish, mask)
 
-    def come_up(self, mask):
+    def establish(self, mask):
         if self.done is not None:
             super().on_ready(mask)
 
 
 @pytest.fixture(params=[True, False], ids=["cancel", "no-cancel"])
 def cancel(request, monkeypatch):
-    """Also where the settings let no attempt that is out be taken back."""
+    """With and without the setting that allows running attempts to be cancelled."""
     monkeypatch.setitem(SETTINGS, "Limits", {**SETTINGS["Limits"], "Cancel": request.param})
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_before_its_request_was_looked_at(tmp_path, way, cancel):
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_before_its_request_is_parsed(tmp_path, how, cancel):
     with PlatformHarness(tmp_path) as harness:
         client = harness.ask("a1")
-        leaves(harness, client, way)
+        leave_and_check(harness, client, how)
         assert not attempts(harness) and not harness.core.reqs
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_while_its_prefill_runs(tmp_path, way, cancel):
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_while_its_prefill_runs(tmp_path, how, cancel):
     with PlatformHarness(tmp_path) as harness:
         reader = harness.platform.servers["s-1"]
         reader.read_us = 200 * MS
         client = harness.ask("a1")
         harness.until(lambda: reader.seen)
-        leaves(harness, client, way)
+        leave_and_check(harness, client, how)
         assert len(attempts(harness)) == 1
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_as_its_prefill_ends(tmp_path, way, cancel):
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_as_its_prefill_ends(tmp_path, how, cancel):
     with PlatformHarness(tmp_path) as harness:
         reader = harness.platform.servers["s-1"]
         client = harness.ask("a1")
 
-        def fault(exchange):  # its answer and the client's close reach the gateway in one turn
+        def fault(exchange):  # its answer and the client's close reach the gateway in the same turn
             if exchange.method != b"POST":
                 return False
             reader.states.add("a1")
             exchange.json(202, {"cached_tokens": 0})
             exchange.conn.stream.flush()
-            WAYS[way](client)
+            CLOSINGS[how](client)
             return True
 
         reader.fault = fault
@@ -123,18 +123,18 @@
         harness.wait_settled()
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_while_a_connection_comes_up(tmp_path, way, cancel, monkeypatch):
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_while_a_connection_is_being_established(tmp_path, how, cancel, monkeypatch):
     monkeypatch.setattr(http1_client, "connect", LateConnect)
     with PlatformHarness(tmp_path) as harness:
         client = harness.ask("a1")
         harness.until(lambda: harness.core.counts["forwards"])
-        leaves(harness, client, way)
+        leave_and_check(harness, client, how)
         assert not attempts(harness)
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_while_a_retry_waits_for_its_connection(tmp_path, way, cancel, monkeypatch):
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_while_a_retry_waits_for_its_connection(tmp_path, how, cancel, monkeypatch):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
 
         def fault(exchange):
@@ -148,29 +148,29 @@
             server.fault = fault
         client = harness.ask("a1")
         harness.until(lambda: harness.core.counts["forwards"] == 2)
-        leaves(harness, client, way)
+        leave_and_check(harness, client, how)
         assert len(attempts(harness)) == 1
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_while_a_list_of_1024_servers_is_worked_in(tmp_path, way, cancel):
-    """The list holds the loop for longer than a client that has gone may be served."""
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_while_a_list_of_1024_servers_is_applied(tmp_path, how, cancel):
+    """Applying the list blocks the loop for longer than a client that has gone may still be served."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         rows = harness.node.server_list
         client = harness.ask("a1")
         harness.until(lambda: harness.node.server.connections)
-        near = list(rows.rows.values())
+        listed = list(rows.rows.values())
         rows.rows |= {f"x-{i}": Row(f"x-{i}", 0, 0, 2, 1.0, 0, "draining") for i in range(1022)}
-        taken = harness.core.submit
+        submit = harness.core.submit
 
-        def take(spec, listener):  # the list and the request are in one turn; the client goes while it is worked in
-            req = taken(spec, listener)
+        def take(spec, listener):  # list and request arrive in one turn; the client leaves while the list is applied
+            req = submit(spec, listener)
             harness.node.on_list_change()
             on_servers = harness.core.router.on_servers
 
             def slow(*args):
                 on_servers(*args)
-                WAYS[way](client)
+                CLOSINGS[how](client)
 
             harness.core.router.on_servers = slow
             harness.core.events.insert(0, harness.core.events.pop())
@@ -179,13 +179,13 @@
         harness.core.submit = take
         harness.until(lambda: len(harness.core.router.servers) == 1024)
         harness.loop.run_until(lambda: False, 220 * MS)
-        assert not attempts(harness) and near
+        assert not attempts(harness) and listed
         harness.wait_settled()
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_leaves_while_its_stream_is_held_up(tmp_path, way, cancel):
-    """It takes nothing of its stream, so its server is not read; then it goes: the server is given up."""
+@pytest.mark.parametrize("how", CLOSINGS)
+def test_leaves_while_its_stream_is_paused(tmp_path, how, cancel):
+    """The client reads nothing, so reading from the server is paused; when the client leaves, the attempt is cancelled."""
     with PlatformHarness(tmp_path, ("both",)) as harness:
         server = harness.platform.servers["s-1"]
         server.events, server.pause_us = 100_000, 0
@@ -197,22 +197,22 @@
         conn.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.send(head("a1") + BODY)
         harness.until(lambda: any(r.paused for r in harness.core.reqs.values()))
-        WAYS[way](client)
+        CLOSINGS[how](client)
         harness.until(lambda: not harness.core.reqs, 1_000_000)
         assert len(attempts(harness)) == 1
 
 
-def test_what_comes_behind_an_open_request_is_bounded(tmp_path):
-    """Seen in the code: past its bound the connection was not read any more, and could not be seen to leave. What is
-    kept is answered in turn; a client that sends on past all bounds is cut off."""
+def test_input_behind_an_open_request_is_bounded(tmp_path):
+    """If reading simply stopped at the limit, the client's leaving would go unnoticed. Buffered requests are answered in order; a
+    client that sends on beyond all limits is disconnected."""
     with PlatformHarness(tmp_path, ("both",)) as harness:
         harness.platform.servers["s-1"].pause_us = 100 * MS
         client = harness.ask("a1")
         harness.until(lambda: client.status)
-        kept = 20
-        client.send(b"".join(head(f"p{i}", Req_Deadline="30.000") + BODY for i in range(kept)))
-        harness.until(lambda: client.receive().count(b"0\r\n\r\n") == 1 + kept, 30_000 * MS)
-        assert client.got.count(b"HTTP/1.1 200") == 1 + kept == len(attempts(harness)) and not client.closed
+        count = 20
+        client.send(b"".join(head(f"p{i}", Req_Deadline="30.000") + BODY for i in range(count)))
+        harness.until(lambda: client.receive().count(b"0\r\n\r\n") == 1 + count, 30_000 * MS)
+        assert client.got.count(b"HTTP/1.1 200") == 1 + count == len(attempts(harness)) and not client.closed
         client.close()
         harness.until(lambda: not harness.node.server.connections)
         before = len(attempts(harness))
@@ -220,7 +220,7 @@
         harness.until(lambda: client.status)
         flood(client)
         client.wait_answer()
-        assert client.status == 200 and client.got.endswith(b"0\r\n\r\n")  # the answer is whole, then the end
+        assert client.status == 200 and client.got.endswith(b"0\r\n\r\n")  # the answer is complete, then the connection ends
         harness.until(lambda: client.receive() and client.closed)
         assert client.got.count(b"HTTP/1.1 ") == 1 and len(attempts(harness)) == before + 1
         client = harness.ask("a2")
@@ -228,7 +228,7 @@
         (conn,) = harness.node.server.connections
         sent = 0
         try:
-            while sent < 8 << 20:  # far more: it is cut off
+            while sent < 8 << 20:  # far beyond the limit: it is disconnected
                 client.sock.setblocking(False)
                 try:
                     sent += client.sock.send(PIPELINED * 20)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Which boxes there are: every pair of sources, order, doubts, floods and flapping; no I/O and no clock."""
+"""The merge of all sources of servers: precedence, order, suspicion, floods and flapping; no I/O and no clock."""
 
 import random
 
@@ -21,7 +21,7 @@
     return {n: r.mode for n, r in m.published.items()}
 
 
-# A row of the table: what the list, the records, the box and the operator say -> mode, and why.
+# What the list, the records, the server and the operator say -> mode and reason.
 TABLE = [
     ("ready", "ready", "", "", "ready", None),
     ("ready", "draining", "", "", "draining", "sd"),
@@ -43,27 +43,27 @@
 ]
 
 
-@pytest.mark.parametrize("listed,recorded,box,operator,mode,why", TABLE)
-def test_who_wins_for_every_pair_of_sources(listed, recorded, box, operator, mode, why):
+@pytest.mark.parametrize("listed,recorded,reported,operator,mode,why", TABLE)
+def test_precedence_for_every_pair_of_sources(listed, recorded, reported, operator, mode, why):
     m = Membership()
     m.update_list([row("x", listed)] if listed else [row("other")], 0)
     if recorded:
         m.update_records("sd", [row("x", recorded)], 1)
-    if box:
+    if reported:
         m.set_reported_draining("x", True, 2)
     if operator:
         m.set_operator_draining("x", True, 3)
     assert (m.published["x"].mode, m.reason_of("x")) == (mode, why)
 
 
-def test_the_lists_words_on_a_box_win_over_records_and_the_latest_start_counts():
+def test_the_list_takes_precedence_over_records_and_the_latest_start_counts():
     m = Membership()
     m.update_list([row("x", kind=1, zone=1, start=5)], 0)
     m.update_records("sd", [row("x", kind=2, zone=2, start=9, size=3.0), row("y", kind=2)], 1)
     assert m.published["x"] == row("x", kind=1, zone=1, start=9) and m.published["y"].kind == 2
 
 
-def test_a_record_that_vanishes_drains_at_once_is_gone_later_and_comes_back():
+def test_a_server_whose_record_vanishes_drains_at_once_is_gone_later_and_can_return():
     m = Membership()
     m.update_list([], 0)
     m.update_records("sd", [row(n) for n in "abcdefg"], 0)
@@ -76,13 +76,13 @@
     assert m.published["g"].mode == "ready"
 
 
-def test_a_source_that_loses_most_boxes_at_once_is_doubted_for_a_time_only():
+def test_a_source_that_loses_most_servers_at_once_is_suspected_for_a_limited_time():
     m = Membership()
     m.update_list([], 0)
     m.update_records("sd", [row(n) for n in "abcdefgh"], 0)
     assert m.update_records("sd", [row("a")], 5 * S) is None and m.suspected_sources() == ["sd"]
     assert set(modes(m).values()) == {"ready"} and "doubted" in m.reason_of("b")
-    # What it still says itself counts all the same: a drain at once.
+    # What the source still says counts all the same: the drain takes effect at once.
     m.update_records("sd", [row("a", "draining")], 6 * S)
     assert m.published["a"].mode == "draining" and m.published["b"].mode == "ready"
     m.tick(34 * S)
@@ -93,11 +93,11 @@
     m2.update_list([], 0)
     m2.update_records("sd", [row(n) for n in "abcdefgh"], 0)
     m2.update_records("sd", [], 5 * S)
-    m2.update_records("sd", [row(n) for n in "abcdefg"], 9 * S)  # most are back: no doubt any more
+    m2.update_records("sd", [row(n) for n in "abcdefg"], 9 * S)  # most are back: no longer suspected
     assert m2.suspected_sources() == [] and m2.published["h"].mode == "draining"
 
 
-def test_losses_one_after_another_are_doubted_too():
+def test_gradual_losses_are_suspected_too():
     m = Membership()
     m.update_list([], 0)
     names = "abcdefgh"
@@ -106,7 +106,7 @@
     assert m.suspected_sources() == ["sd"] and sum(v == "ready" for v in modes(m).values()) >= 4
 
 
-def test_a_draining_box_does_not_lose_its_drain_by_a_doubt():
+def test_a_draining_server_keeps_draining_while_its_source_is_suspected():
     m = Membership()
     m.update_list([], 0)
     m.update_records("sd", [row(n, "draining" if n == "a" else "ready") for n in "abcdefgh"], 0)
@@ -114,7 +114,7 @@
     assert m.published["a"].mode == "draining" and m.published["b"].mode == "ready"
 
 
-def test_a_later_start_ends_the_boxs_own_drain_and_not_the_operators():
+def test_a_later_start_ends_the_servers_own_drain_but_not_the_operators():
     m = Membership()
     m.update_list([], 0)
     m.update_records("sd", [row("x", start=5)], 0)
@@ -128,7 +128,7 @@
     assert m.published["x"].mode == "draining" and m.reason_of("x") == "operator"
 
 
-def test_what_comes_and_goes_is_held_back_for_a_while():
+def test_a_flapping_server_is_held_back_for_a_while():
     m = Membership()
     m.update_list([], 0)
     rest = [row(n) for n in "abcdef"]
@@ -146,7 +146,7 @@
     assert m.published["x"].mode == "ready"
 
 
-def test_a_box_does_not_change_its_kind_while_it_runs():
+def test_a_server_does_not_change_its_kind_while_it_runs():
     m = Membership()
     m.update_list([], 0)
     m.update_records("sd", [row("x", kind=2, start=5)], 0)
@@ -155,7 +155,7 @@
     assert m.published["x"].kind == 0
 
 
-def test_a_flood_is_let_in_bit_by_bit_from_each_kind_and_zone_in_turn():
+def test_a_flood_is_admitted_gradually_alternating_between_kinds_and_zones():
     m = Membership()
     m.update_list([row("listed")], 0)
     flood = [row(f"b{i:04d}", kind=0 if i < 1900 else 1, zone=i % 2) for i in range(2000)]
@@ -166,9 +166,9 @@
     while len(m.published) < 2000 and now < 100 * S:
         now += 200_000
         events.append(m.tick(now))
-    told = [e for e in events if e]
-    assert len(m.published) == 2000 and 40 * S < now < 60 * S and len(told) <= 260  # few and batched
-    assert max(len(e[2]) for e in told) <= 2000 and m.tick(now + S) is None  # the bound holds the last one off
+    published = [e for e in events if e]
+    assert len(m.published) == 2000 and 40 * S < now < 60 * S and len(published) <= 260  # few events, in batches
+    assert max(len(e[2]) for e in published) <= 2000 and m.tick(now + S) is None  # the limit keeps the last one out
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -183,26 +183,26 @@
     ),
     st.integers(0, 1 << 20),
 )
-def test_the_last_words_count_in_whatever_order_sources_speak_and_no_drain_is_lost(words, seed):
-    """Each source's last word on each box; told in two orders, the result is the same."""
+def test_the_last_statements_count_in_any_order_of_sources_and_no_drain_is_lost(statements, seed):
+    """The last statement of each source about each server, applied in two orders, gives the same result."""
     last = {}
-    for source, box, mode in words:
-        last[source, f"b{box}"] = mode
+    for source, number, mode in statements:
+        last[source, f"b{number}"] = mode
     for i in range(5):
         last["list", "always"] = last["sd", "always"] = "ready"
 
     def apply(order):
         m = Membership(Limits(suspicion_us=0, gone_us=0))
-        boxes = {b for _, b in last}
-        m.update_list([row(b) for b in sorted(boxes)], 0)  # known to begin with, so that words of boxes and operators count
+        names = {b for _, b in last}
+        m.update_list([row(b) for b in sorted(names)], 0)  # known from the start, so that reports of servers and operators count
         for source in order:
             if source == "list":
-                m.update_list([row(b, last["list", b]) for b in sorted(boxes) if last.get(("list", b))], 1)
+                m.update_list([row(b, last["list", b]) for b in sorted(names) if last.get(("list", b))], 1)
             elif source in ("sd", "srv"):
                 m.update_records(
-                    source, [row(b, last[source, b]) for b in sorted(boxes) if last.get((source, b)) in ("ready", "draining")], 1
+                    source, [row(b, last[source, b]) for b in sorted(names) if last.get((source, b)) in ("ready", "draining")], 1
                 )
-        for b in sorted(boxes):
+        for b in sorted(names):
             if last.get(("box", b)) == "draining" and b in m.published:
                 m.set_reported_draining(b, True, 1)
             if last.get(("op", b)) == "draining" and b in m.published:
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -1,19 +1,19 @@
-"""A request that was read gets an answer before its connection is closed, and its time counts from its arrival."""
+"""A request that has been received is answered before its connection is closed, and its deadline counts from its arrival."""
 
 import socket
 
 import pytest
 from platform_harness import BODY, PlatformHarness, head
-from test_closing import to_the_end
+from test_closing import read_to_end
 
 from lapiswing.loop import Clock, Listener, Loop, listen_socket
 
 MS = 1000
-LONG_BODY = BODY.replace(b"x" * 400, b"x" * 20_000)  # an ordinary prompt is longer than a few KB
+LONG_BODY = BODY.replace(b"x" * 400, b"x" * 20_000)  # ordinary prompts are longer than a few KB
 
 
 class SkippingClock(Clock):
-    """Real time and what a test adds to it, as a busy turn does."""
+    """Real time plus what a test adds, like a turn that takes long."""
 
     def __init__(self):
         self.skipped_us = 0
@@ -29,20 +29,20 @@
     return [int(part[:3]) for part in got.split(b"HTTP/1.1 ")[1:]]
 
 
-def test_what_was_read_behind_an_answered_request_is_answered_while_stopping(tmp_path):
+def test_pipelined_requests_that_were_read_are_answered_while_stopping(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
-        kept = harness.ask("a0").wait_answer()
-        kept.got = b""
+        client = harness.ask("a0").wait_answer()
+        client.got = b""
         harness.node.stopping = harness.core.draining = harness.node.server.closing = True
-        kept.send((head("a1") + BODY) * 3)  # one read for the three
-        got, clean = to_the_end(kept.sock, lambda: harness.loop.turn(1000))
+        client.send((head("a1") + BODY) * 3)  # the three arrive in one read
+        got, clean = read_to_end(client.sock, lambda: harness.loop.turn(1000))
         assert statuses(got) == [503] * 3 and clean
         assert got.lower().count(b"connection: close") == 1
 
 
 @pytest.mark.parametrize("body", [BODY, LONG_BODY], ids=["short", "long"])
 def test_requests_behind_an_open_one_are_answered(tmp_path, body):
-    """Past 4 KB they were read, thrown away and closed over."""
+    """Beyond 4 KB they used to be discarded and the connection closed."""
     with PlatformHarness(tmp_path, ("both",)) as harness:
         harness.platform.servers["s-1"].pause_us = 20 * MS
         client = harness.ask("a1")
@@ -53,7 +53,7 @@
         assert statuses(client.got) == [200] * 6
 
 
-def test_what_all_connections_keep_behind_open_requests_is_bounded(tmp_path):
+def test_the_total_input_buffered_behind_open_requests_is_bounded(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         server = harness.node.server
         server.limits = type(server.limits)(**{**vars(server.limits), "all_pipelined_bytes": 100_000})
@@ -71,17 +71,17 @@
         harness.wait_settled()
 
 
-def test_half_a_request_that_makes_room_is_refused_and_not_dropped(tmp_path):
+def test_a_partial_request_closed_to_make_room_is_refused_rather_than_dropped(tmp_path):
     with PlatformHarness(tmp_path, ("both",), sockets=128) as harness:
-        half = [harness.client(head(f"a{i}") + BODY[:40]) for i in range(harness.node.clients)]
-        harness.until(lambda: sum(c.phase == "body" for c in harness.node.server.connections) == len(half))
+        partial = [harness.client(head(f"a{i}") + BODY[:40]) for i in range(harness.node.clients)]
+        harness.until(lambda: sum(c.phase == "body" for c in harness.node.server.connections) == len(partial))
         harness.loop.run_until(lambda: False, 600 * MS)
         assert harness.ask("b1").wait_answer().status == 200
-        harness.until(lambda: any(client.status for client in half))
-        assert {client.status for client in half} <= {None, 503}
+        harness.until(lambda: any(client.status for client in partial))
+        assert {client.status for client in partial} <= {None, 503}
 
 
-def test_a_request_on_a_connection_that_there_is_no_place_for_is_answered():
+def test_a_request_on_a_connection_beyond_the_limit_is_answered():
     from lapiswing.http1 import Server
 
     loop = Loop(Clock())
@@ -89,56 +89,56 @@
     listener.on_refused = Server.answer_refused
     client = socket.create_connection(listener.address)
     client.sendall(head("a1") + BODY)
-    quiet = socket.create_connection(listener.address)
+    silent = socket.create_connection(listener.address)
     loop.run_until(lambda: listener.refused == 2, 1_000_000)
-    got, clean = to_the_end(client, lambda: loop.turn(1000))
+    got, clean = read_to_end(client, lambda: loop.turn(1000))
     assert statuses(got) == [503] and clean
-    assert to_the_end(quiet, lambda: loop.turn(1000)) == (b"", True)
+    assert read_to_end(silent, lambda: loop.turn(1000)) == (b"", True)
     listener.close()
     loop.close()
 
 
-def in_time(told, asked_us, within_us, slack_us=150 * MS):
-    return all(seconds * 1e6 <= asked_us + within_us - at_us + slack_us for seconds, at_us in told)
+def within_deadline(deadlines, asked_us, within_us, slack_us=150 * MS):
+    return all(seconds * 1e6 <= asked_us + within_us - at_us + slack_us for seconds, at_us in deadlines)
 
 
-def test_a_request_behind_an_open_one_tells_what_is_left_since_it_came(tmp_path):
+def test_the_deadline_of_a_pipelined_request_counts_from_its_arrival(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         harness.platform.servers["s-1"].pause_us = 150 * MS
         client = harness.ask("a1")
         harness.until(lambda: client.status)
-        told, asked_us = harness.record_deadlines(), harness.loop.clock.now_us()
+        deadlines, asked_us = harness.record_deadlines(), harness.loop.clock.now_us()
         client.send(head("a2", Req_Deadline="2.500") + BODY)
-        harness.until(lambda: told)
-        assert told[0][1] - asked_us > 300 * MS  # it did wait
-        assert in_time(told, asked_us, 2_500 * MS), told
+        harness.until(lambda: deadlines)
+        assert deadlines[0][1] - asked_us > 300 * MS  # it did wait
+        assert within_deadline(deadlines, asked_us, 2_500 * MS), deadlines
 
 
-@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_a_request_that_came_in_during_a_long_turn_tells_what_is_left(tmp_path, kept):
+@pytest.mark.parametrize("reused", [False, True], ids=["new connection", "reused connection"])
+def test_the_deadline_of_a_request_that_arrived_during_a_long_turn_counts_from_its_arrival(tmp_path, reused):
     clock = SkippingClock()
     with PlatformHarness(tmp_path, ("both",), loop=Loop(clock)) as harness:
         client = harness.ask("a0").wait_answer()
-        told = harness.record_deadlines()
+        deadlines = harness.record_deadlines()
         asked_us = clock.now_us()
-        if kept:
+        if reused:
             client.got = b""
             harness.loop.soon(client.send, head("a1", Req_Deadline="2.000") + BODY)
         else:
             harness.loop.soon(lambda: setattr(harness, "late", harness.ask("a1", Req_Deadline="2.000")))
-        harness.loop.soon(clock.skip, 600 * MS)  # behind the client's bytes, in the same turn
-        harness.until(lambda: told)
-        assert in_time(told, asked_us, 2_000 * MS), told
+        harness.loop.soon(clock.skip, 600 * MS)  # after the client's bytes, in the same turn
+        harness.until(lambda: deadlines)
+        assert within_deadline(deadlines, asked_us, 2_000 * MS), deadlines
 
 
-def test_a_request_in_pieces_tells_what_is_left_since_its_first(tmp_path):
+def test_the_deadline_of_a_request_in_pieces_counts_from_the_first(tmp_path):
     clock = SkippingClock()
     with PlatformHarness(tmp_path, ("both",), loop=Loop(clock)) as harness:
         data = head("a1", Req_Deadline="3.000") + BODY
-        told, asked_us = harness.record_deadlines(), clock.now_us()
+        deadlines, asked_us = harness.record_deadlines(), clock.now_us()
         client = harness.client(data[:100])
         harness.until(lambda: any(c.phase == "head" for c in harness.node.server.connections))
         clock.skip(700 * MS)
         client.send(data[100:])
-        harness.until(lambda: told)
-        assert in_time(told, asked_us, 3_000 * MS), told
+        harness.until(lambda: deadlines)
+        assert within_deadline(deadlines, asked_us, 3_000 * MS), deadlines
--- a/tests/test_server_starts.py
+++ b/tests/test_server_starts.py
@@ -15,49 +15,53 @@
 
 @pytest.fixture
 def step(monkeypatch):
-    """Steps the wall clock of this process by so many seconds; the monotonic one runs on."""
+    """-> a function that steps this process's wall clock by some seconds; the monotonic clock is not affected."""
     real, by = time.time_ns, [0.0]
     monkeypatch.setattr(time, "time_ns", lambda: real() + round(by[0] * 1e9))
     return lambda seconds: by.__setitem__(0, seconds)
 
 
 def unix_ms():
-    """What the other machines' clocks show."""
+    """-> the time as shown by the clocks of the other machines."""
     return time.clock_gettime_ns(time.CLOCK_REALTIME) // 1_000_000
 
 
 def cold_for_us(harness, server):
-    """How long a server is held for cold from now on, at the most."""
-    machine = harness.core.router.servers[server.name]
-    left = machine.started_us + harness.core.router.slow_start_us - harness.loop.clock.now_us()
-    return max(0, left) if machine.started_us else 0
+    """-> for how long from now a server is treated as cold."""
+    state = harness.core.router.servers[server.name]
+    left = state.started_us + harness.core.router.slow_start_us - harness.loop.clock.now_us()
+    return max(0, left) if state.started_us else 0
 
 
 @pytest.mark.parametrize("seconds", [HOUR_S, -HOUR_S, 5, -5])
 @pytest.mark.parametrize("fleet", ["one", "all"])
-def test_a_server_that_has_just_started_is_cold_in_the_list_of_a_start_on_a_stepped_machine(
+def test_a_server_that_has_just_started_is_cold_in_the_first_list_on_a_machine_with_a_stepped_clock(
     tmp_path, step, monkeypatch, seconds, fleet
 ):
     from lapiswing.standin import platform
 
-    begun = platform.ModelServer.__init__
+    construct = platform.ModelServer.__init__
 
     def just_started(server, *args, **kwargs):
-        begun(server, *args, **kwargs)
+        construct(server, *args, **kwargs)
         if fleet == "all" or server.name == "s-2":
             server.since_ms = unix_ms() - 1000
 
     monkeypatch.setattr(platform.ModelServer, "__init__", just_started)
     step(seconds)
     with PlatformHarness(tmp_path, ("both", "both", "both")) as harness:
-        ramp = harness.core.router.slow_start_us
+        slow_start_us = harness.core.router.slow_start_us
         for server in harness.platform.servers.values():
             new = fleet == "all" or server.name == "s-2"
-            assert ramp - 1200 * MS <= cold_for_us(harness, server) <= ramp if new else not cold_for_us(harness, server)
+            assert (
+                slow_start_us - 1200 * MS <= cold_for_us(harness, server) <= slow_start_us
+                if new
+                else not cold_for_us(harness, server)
+            )
 
 
 @pytest.mark.parametrize("seconds", [HOUR_S, -HOUR_S, 60, 0])
-def test_a_server_that_starts_later_is_cold_for_one_ramp(tmp_path, step, seconds):
+def test_a_server_that_starts_later_is_cold_for_one_slow_start(tmp_path, step, seconds):
     step(seconds)
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         harness.until(lambda: harness.platform.discovery.waiting)
@@ -69,28 +73,28 @@
 
 
 @pytest.mark.parametrize("seconds", [HOUR_S, -HOUR_S])
-def test_a_step_while_the_process_runs_moves_no_start(tmp_path, step, seconds):
+def test_a_step_while_the_process_runs_changes_no_start(tmp_path, step, seconds):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         harness.until(lambda: harness.platform.discovery.waiting)
         server, other = harness.platform.servers.values()
         server.since_ms = unix_ms()
         harness.platform.discovery.tell(server.row())
         harness.until(lambda: cold_for_us(harness, server))
-        placed = harness.core.router.servers[server.name].started_us
+        started_us = harness.core.router.servers[server.name].started_us
         step(seconds)
         other.status = "DRAINING"
         harness.platform.discovery.tell(server.row(), other.row())
         harness.until(lambda: harness.core.router.servers[other.name].mode == "draining")
-        assert harness.core.router.servers[server.name].started_us == placed
+        assert harness.core.router.servers[server.name].started_us == started_us
 
 
-def test_servers_that_started_a_ramp_before_the_newest_are_warm_whatever_the_clock_shows(tmp_path, step, monkeypatch):
+def test_servers_that_started_long_before_the_newest_are_warm_whatever_the_clock_shows(tmp_path, step, monkeypatch):
     from lapiswing.standin import platform
 
-    begun = platform.ModelServer.__init__
+    construct = platform.ModelServer.__init__
 
     def old(server, *args, **kwargs):
-        begun(server, *args, **kwargs)
+        construct(server, *args, **kwargs)
         server.since_ms = unix_ms() - {"s-1": 600_000, "s-2": 20_000, "s-3": 6_000}[server.name]
 
     monkeypatch.setattr(platform.ModelServer, "__init__", old)
@@ -101,7 +105,7 @@
         assert cold_for_us(harness, three) > 13 * S
 
 
-def test_one_module_alone_reads_the_wall_clock_of_what_a_gateway_of_the_platform_loads():
+def test_only_one_module_that_the_platform_gateway_loads_reads_the_wall_clock():
     loaded = subprocess.run(
         [
             sys.executable,
