--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""A change is acted on within 5 s of when discovery had it and could be reached, whatever happened to the calls before."""
+"""A change takes effect within 5 s of the moment when discovery has it and is reachable, whatever happened to earlier calls."""
 
 import json
 
@@ -10,11 +10,11 @@
 from lapiswing.loop import Loop, ManualClock
 from lapiswing.membership.starts import ServerStarts
 from lapiswing.node.discovery import (
-    RETRY_DELAY_US,
-    SUBSCRIBE_WAIT_MS,
     ANSWER_GRACE_US,
     MAX_ANSWER_GRACE_US,
     MAX_REJECTED_DELAY_US,
+    RETRY_DELAY_US,
+    SUBSCRIBE_WAIT_MS,
     WATCH_WAIT_MS,
     Discovery,
     ServerList,
@@ -22,14 +22,24 @@
 
 MS, S = 1000, 1_000_000
 LIMIT_US = 5 * S
-BAD = ("refused", "does not come up", "reset", "silent", "drips", "half an answer", "no JSON", "503", "an older list's change")
+FAILURES = (
+    "refused",
+    "connect times out",
+    "reset",
+    "silent",
+    "trickles",
+    "half an answer",
+    "not JSON",
+    "503",
+    "an older list's change",
+)
 
 
 class Scripted:
-    """In place of a pool: what becomes of each call. After the script all calls are answered as they should be."""
+    """Replaces the pool: plays a script with the fate of each call. After the script all calls are answered normally."""
 
     def __init__(self, loop, script):
-        self.loop, self.script, self.asked = loop, list(script), []
+        self.loop, self.script, self.requests = loop, list(script), []
         self.index, self.mode, self.whole = 1, "SERVING", None
 
     def close_idle(self, address):
@@ -37,12 +47,14 @@
 
     def request(self, address, method, target, fields, body, handler):
         exchange = Call(self, target, handler)
-        self.asked.append((self.loop.clock.now_us(), target))
+        self.requests.append((self.loop.clock.now_us(), target))
         exchange.play(self.script.pop(0) if self.script else "good")
         return exchange
 
 
 class Call:
+    """One scripted call, in place of an exchange."""
+
     def __init__(self, pool, target, handler):
         self.pool, self.target, self.handler, self.over = pool, target, handler, False
 
@@ -67,7 +79,7 @@
         return json.dumps({"index": index or pool.index, "snapshot": b"after" not in self.target, "endpoints": [row]}).encode()
 
     def waits(self, index):
-        """Whether it is a watch for something newer than discovery has."""
+        """Whether this is a watch for something newer than discovery has."""
         after = self.target.partition(b"after=")[2].partition(b"&")[0]
         return bool(after) and int(after) >= index
 
@@ -86,27 +98,27 @@
         self.over = True
         self.handler.on_fail(stage, "scripted")
 
-    def drip(self):
+    def trickle(self):
         self.handler.on_body(b" ")
-        self.later(50 * MS, self.drip)
+        self.later(50 * MS, self.trickle)
 
     def play(self, what):
         if what == "good":
             self.later(1 * MS, self.good)
         elif what == "refused":
             self.later(0, self.fail, "connect")
-        elif what == "does not come up":
+        elif what == "connect times out":
             self.later(1000 * MS, self.fail, "connect")
         elif what == "reset":
             self.later(30 * MS, self.fail, "sent")
-        elif what == "drips":
+        elif what == "trickles":
             self.handler.on_head(200, [])
-            self.drip()
+            self.trickle()
         elif what == "half an answer":
             self.handler.on_head(200, [])
             self.handler.on_body(self.answer()[:40])
             self.later(400 * MS, self.fail, "body")
-        elif what == "no JSON":
+        elif what == "not JSON":
             self.later(5 * MS, self.whole, b"{")
         elif what == "503":
             self.later(5 * MS, self.whole, b"", 503)
@@ -114,63 +126,65 @@
             self.later(5 * MS, self.whole, b'{"index":0,"snapshot":false,"endpoints":[]}')
 
 
-class Played:
+class Scenario:
+    """A Discovery with a scripted pool on a manual clock."""
+
     def __init__(self, subscribe=False):
         self.loop = Loop(ManualClock())
-        self.heard, self.rows = [], ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
+        self.changes, self.rows = [], ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
         self.pool = Scripted(self.loop, [])
         self.discovery = Discovery(self.loop, self.pool, ("127.0.0.1", 1), self.rows, self.on_list_change, self, subscribe)
         self.until(lambda: self.rows.rows, S)
 
     def on_list_change(self):
-        self.heard.append((self.loop.clock.now_us(), {r.id: r.mode for r in self.rows.rows.values()}))
+        self.changes.append((self.loop.clock.now_us(), {r.id: r.mode for r in self.rows.rows.values()}))
 
     def info(self, *_, **__):
         pass
 
     warning = info
 
-    def until(self, done, most_us):
-        return self.loop.run_until(done, most_us)
+    def until(self, done, max_us):
+        return self.loop.run_until(done, max_us)
 
     def change(self):
-        """The server begins to drain, and discovery can be reached from now on. -> after what time it was acted on."""
+        """The server begins to drain, and discovery is reachable from now on. -> the time until the change took effect."""
         self.pool.index, self.pool.mode = self.pool.index + 1, "DRAINING"
         began = self.loop.clock.now_us()
-        assert self.until(lambda: self.heard and self.heard[-1][1] == {"s-1": "draining"}, 10 * S)
+        assert self.until(lambda: self.changes and self.changes[-1][1] == {"s-1": "draining"}, 10 * S)
         return self.loop.clock.now_us() - began
 
 
 @settings(max_examples=100, deadline=None)
 @given(
-    before=st.lists(st.sampled_from(BAD), max_size=6),
+    before=st.lists(st.sampled_from(FAILURES), max_size=6),
     at_ms=st.integers(0, 4000),
     hups=st.lists(st.integers(0, 4000), max_size=3),
-    after=st.lists(st.sampled_from(BAD), max_size=3),
+    after=st.lists(st.sampled_from(FAILURES), max_size=3),
 )
-@example(before=["silent"], at_ms=0, hups=[], after=["silent", "drips", "does not come up"])
-@example(before=["drips", "silent"], at_ms=100, hups=[50], after=["half an answer", "silent", "silent"])
-def test_over_all_orders_of_faults(before, at_ms, hups, after):
-    """`before`: what becomes of the calls until the change; `after`: of three more at the most, though discovery could be
-    reached. SIGHUP moves to another address in between."""
-    play = Played()
+@example(before=["silent"], at_ms=0, hups=[], after=["silent", "trickles", "connect times out"])
+@example(before=["trickles", "silent"], at_ms=100, hups=[50], after=["half an answer", "silent", "silent"])
+def test_over_all_orders_of_failures(before, at_ms, hups, after):
+    """`before`: failures of the calls until the change; `after`: of at most three more, although discovery is reachable. In
+    between SIGHUP changes the address."""
+    scenario = Scenario()
     try:
-        play.pool.script = list(before)
+        scenario.pool.script = list(before)
         for number, ms in enumerate(hups):
-            play.loop.call_later(ms * MS, play.discovery.change_address, ("127.0.0.1", 2 + number))
-        play.until(lambda: False, at_ms * MS)
-        play.pool.script = list(after)
-        took = play.change()
+            scenario.loop.call_later(ms * MS, scenario.discovery.change_address, ("127.0.0.1", 2 + number))
+        scenario.until(lambda: False, at_ms * MS)
+        scenario.pool.script = list(after)
+        took = scenario.change()
         assert took <= LIMIT_US, took
     finally:
-        play.discovery.stop()
-        play.loop.close()
+        scenario.discovery.stop()
+        scenario.loop.close()
 
 
-def test_a_list_that_takes_long_and_is_no_drip_gets_more_time():
-    play = Played()
+def test_a_long_list_that_arrives_steadily_gets_more_time():
+    scenario = Scenario()
 
-    def slow(exchange):  # 300 KB in 2 s, each time it is asked for
+    def slow(exchange):  # 300 KB in 2 s, at every call
         exchange.handler.on_head(200, [])
         body = exchange.answer()
         body = body[:1] + b" " * 300_000 + body[1:]
@@ -178,45 +192,45 @@
             exchange.later(part * 100 * MS, exchange.handler.on_body, body[part * len(body) // 20 : (part + 1) * len(body) // 20])
         exchange.later(2000 * MS, exchange.handler.on_end)
 
-    play.pool.index, play.pool.mode = 2, "DRAINING"
+    scenario.pool.index, scenario.pool.mode = 2, "DRAINING"
     real = Call.play
     try:
         Call.play = lambda exchange, what: slow(exchange)
-        play.discovery.change_address(("127.0.0.1", 2))
-        assert play.until(lambda: play.rows.rows["s-1"].mode == "draining", 9 * S)
+        scenario.discovery.change_address(("127.0.0.1", 2))
+        assert scenario.until(lambda: scenario.rows.rows["s-1"].mode == "draining", 9 * S)
     finally:
         Call.play = real
-        play.discovery.stop()
-        play.loop.close()
+        scenario.discovery.stop()
+        scenario.loop.close()
     assert ANSWER_GRACE_US * 4 == MAX_ANSWER_GRACE_US > 2 * S
 
 
-def test_after_a_failed_call_the_whole_list_is_asked_for():
-    """A discovery that has started anew may count from the beginning: a watch after a later index would wait for good."""
-    play = Played()
-    play.pool.index = 40
-    assert play.until(lambda: play.rows.index == 40, S)
-    play.pool.script, play.pool.index = ["reset"], 3
-    play.discovery.change_address(("127.0.0.1", 1))
-    play.pool.mode = "DRAINING"
-    assert play.until(lambda: play.rows.rows["s-1"].mode == "draining", S) and play.rows.index == 3
-    play.pool.script, play.pool.index = [], 2
-    play.discovery.failed(play.discovery.call, "scripted")
-    assert play.until(lambda: play.rows.index == 2, S)
-    play.discovery.stop()
-    play.loop.close()
+def test_after_a_failed_call_the_whole_list_is_requested():
+    """A restarted discovery may count from the beginning again: a watch after a later index would wait for good."""
+    scenario = Scenario()
+    scenario.pool.index = 40
+    assert scenario.until(lambda: scenario.rows.index == 40, S)
+    scenario.pool.script, scenario.pool.index = ["reset"], 3
+    scenario.discovery.change_address(("127.0.0.1", 1))
+    scenario.pool.mode = "DRAINING"
+    assert scenario.until(lambda: scenario.rows.rows["s-1"].mode == "draining", S) and scenario.rows.index == 3
+    scenario.pool.script, scenario.pool.index = [], 2
+    scenario.discovery.failed(scenario.discovery.call, "scripted")
+    assert scenario.until(lambda: scenario.rows.index == 2, S)
+    scenario.discovery.stop()
+    scenario.loop.close()
 
 
-def test_the_row_of_failures_that_is_allowed_ends_in_time():
+def test_the_allowed_number_of_successive_failures_ends_in_time():
     assert WATCH_WAIT_MS * MS + ANSWER_GRACE_US + RETRY_DELAY_US + 3 * (ANSWER_GRACE_US + RETRY_DELAY_US) < LIMIT_US
 
 
 @pytest.mark.parametrize("how", ["silent watch", "outage", "reset"])
-def test_on_sockets_a_change_is_acted_on_within_5_s(tmp_path, how):
+def test_a_change_takes_effect_within_5_s_on_real_sockets(tmp_path, how):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         discovery, server = harness.platform.discovery, harness.platform.servers["s-1"]
         harness.until(lambda: discovery.waiting)
-        if how == "silent watch":  # what is open stays open and says nothing; new calls are answered
+        if how == "silent watch":  # open calls stay open and get no answer; new calls are answered
             discovery.waiting.clear()
         elif how == "outage":
             discovery.silent = True
@@ -236,7 +250,7 @@
         assert {row[0] for row in harness.platform.seen(b"POST")} == {"s-2"}
 
 
-def test_an_indented_list_is_taken_like_any_other(tmp_path):
+def test_an_indented_list_is_read_like_any_other(tmp_path):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         discovery = harness.platform.discovery
         for indent in (2, "\t"):
@@ -247,13 +261,13 @@
 
 
 class Overloaded:
-    """In place of a discovery that many gateways ask: it works on one call after the other, some time on each, and turns
-    away what it could not answer within its time-out."""
+    """Replaces a discovery shared by many gateways: it processes one call after the other, each for some time, and rejects calls
+    that it could not answer within its time-out."""
 
-    COST_US, MOST_US = 60 * MS, 2 * S
+    COST_US, MAX_WAIT_US = 60 * MS, 2 * S
 
     def __init__(self, loop):
-        self.loop, self.index, self.mode, self.free_us, self.waiting, self.turned_away = loop, 1, "SERVING", 0, [], 0
+        self.loop, self.index, self.mode, self.free_us, self.waiting, self.rejected = loop, 1, "SERVING", 0, [], 0
 
     def close_idle(self, address):
         pass
@@ -263,13 +277,13 @@
         if call.waits(self.index):
             self.waiting.append(call)
         else:
-            self.work_on(call)
+            self.process(call)
         return call
 
-    def work_on(self, call):
+    def process(self, call):
         begin_us = max(self.loop.clock.now_us(), self.free_us)
-        if begin_us - self.loop.clock.now_us() > self.MOST_US:
-            self.turned_away += 1
+        if begin_us - self.loop.clock.now_us() > self.MAX_WAIT_US:
+            self.rejected += 1
             return call.later(MS, call.whole, b"", 503)
         self.free_us = begin_us + self.COST_US
         call.later(self.free_us - self.loop.clock.now_us(), lambda: call.whole(call.answer()))
@@ -278,12 +292,12 @@
         self.index, self.mode = self.index + 1, "DRAINING"
         waiting, self.waiting = self.waiting, []
         for call in waiting:
-            self.work_on(call)
+            self.process(call)
 
 
-def test_many_gateways_that_ask_do_not_keep_discovery_overloaded():
-    """All start at once and hear of a change, of 60 ms work each. With a pause of 0.1 s and the whole list each time some
-    never heard of it."""
+def test_many_gateways_do_not_keep_discovery_overloaded():
+    """All start at once and get a change, each call costing 60 ms. If they retried after 0.1 s with a request for the whole list,
+    some would never get it."""
     loop = Loop(ManualClock())
     discovery, gateways = Overloaded(loop), []
     for seed in range(60):
@@ -296,7 +310,7 @@
         return all(g.rows.rows and g.rows.rows["s-1"].mode == mode for g in gateways)
 
     try:
-        assert loop.run_until(lambda: all_are("ready"), 6 * S) and discovery.turned_away
+        assert loop.run_until(lambda: all_are("ready"), 6 * S) and discovery.rejected
         loop.run_until(lambda: len(discovery.waiting) == len(gateways), S)
         discovery.change()
         assert loop.run_until(lambda: all_are("draining"), 6 * S)
@@ -306,40 +320,40 @@
         loop.close()
 
 
-def test_gateways_that_start_together_end_their_waits_apart():
-    """All in one moment, some were turned away and heard of a change 0.4 s too late."""
+def test_the_waits_of_gateways_that_start_together_are_spread():
+    """If all waits ended at the same moment, some calls would be rejected and a change noticed 0.4 s too late."""
     waits = sorted(
         Discovery(Loop(ManualClock()), None, None, ServerList([], [], None), None, RecordingLog(), True, seed).wait_ms
         for seed in range(40)
     )
     assert waits[0] >= SUBSCRIBE_WAIT_MS * 3 // 4 and waits[-1] <= SUBSCRIBE_WAIT_MS
-    assert max(sum(at <= w < at + 500 for w in waits) for at in waits) <= 10  # of 40, in any half second
-
-
-def test_a_call_that_was_turned_away_comes_later_and_with_what_it_has():
-    play = Played(subscribe=True)
-    assert play.until(lambda: play.rows.index == 1, S)
-    play.pool.script = ["503"] * 6
-    play.discovery.send_call()
-    begin = len(play.pool.asked) - 1
-    play.until(lambda: len(play.pool.asked) - begin > 6, 8 * S)
-    asked = play.pool.asked[begin:]
-    pauses = [b - a for (a, _), (b, _) in zip(asked, asked[1:])]
-    assert all(b"after=1&wait_ms=%d" % play.discovery.wait_ms in target for _, target in asked)
+    assert max(sum(start <= w < start + 500 for w in waits) for start in waits) <= 10  # of 40, in any half second
+
+
+def test_a_rejected_call_is_retried_later_and_asks_only_for_changes():
+    scenario = Scenario(subscribe=True)
+    assert scenario.until(lambda: scenario.rows.index == 1, S)
+    scenario.pool.script = ["503"] * 6
+    scenario.discovery.send_call()
+    first = len(scenario.pool.requests) - 1
+    scenario.until(lambda: len(scenario.pool.requests) - first > 6, 8 * S)
+    calls = scenario.pool.requests[first:]
+    pauses = [b - a for (a, _), (b, _) in zip(calls, calls[1:])]
+    assert all(b"after=1&wait_ms=%d" % scenario.discovery.wait_ms in target for _, target in calls)
     assert min(pauses) > 100 * MS and pauses[3] > pauses[0] and max(pauses) <= MAX_REJECTED_DELAY_US + 10 * MS
-    play.discovery.stop()
-    play.loop.close()
+    scenario.discovery.stop()
+    scenario.loop.close()
 
 
 @pytest.mark.parametrize("after", [[], ["silent"]])
-def test_a_silent_watch_where_discovery_is_asked_is_found_out_before_it_counts_as_told(after):
-    """2 s after its wait is over; a further silent call counts anew, 6 s from there."""
-    play = Played(subscribe=True)
-    play.pool.script = ["silent", *after]
-    play.discovery.send_call()
-    opened_us = play.loop.clock.now_us()
-    play.pool.index, play.pool.mode = 2, "DRAINING"
-    assert play.until(lambda: play.rows.rows["s-1"].mode == "draining", 40 * S)
-    assert play.loop.clock.now_us() - opened_us < play.discovery.wait_ms * MS + (6 * S if after else S)
-    play.discovery.stop()
-    play.loop.close()
+def test_a_silent_watch_in_subscribe_mode_is_detected_before_a_change_is_due(after):
+    """A change is due 2 s after the watch's wait; after a further silent call, 6 s later."""
+    scenario = Scenario(subscribe=True)
+    scenario.pool.script = ["silent", *after]
+    scenario.discovery.send_call()
+    opened_us = scenario.loop.clock.now_us()
+    scenario.pool.index, scenario.pool.mode = 2, "DRAINING"
+    assert scenario.until(lambda: scenario.rows.rows["s-1"].mode == "draining", 40 * S)
+    assert scenario.loop.clock.now_us() - opened_us < scenario.discovery.wait_ms * MS + (6 * S if after else S)
+    scenario.discovery.stop()
+    scenario.loop.close()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,5 +1,4 @@
-"""Errors that operators meet: each says what failed, where, and what to do; docs/errors.md lists all of
-them."""
+"""Errors shown to operators: each says what failed, where, and what to do; docs/errors.md lists all of them."""
 
 import ast
 import importlib
@@ -22,21 +21,22 @@
 PAGE = (ROOT / "docs" / "errors.md").read_text()
 
 
-def every_type():
+def all_error_types():
+    """-> all subclasses of OperatorError in the package."""
     for module in pkgutil.walk_packages(lapiswing.__path__, "lapiswing."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
-    todo, found = [OperatorError], []
-    while todo:
-        for kind in todo.pop().__subclasses__():
+    pending, found = [OperatorError], []
+    while pending:
+        for kind in pending.pop().__subclasses__():
             if kind not in found and kind.__module__.startswith("lapiswing."):
                 found.append(kind)
-                todo.append(kind)
+                pending.append(kind)
     return found
 
 
 def rows():
-    """Of the page's table: type -> (module, exit codes)."""
+    """-> the page's table: {type: (module, exit codes)}."""
     return {
         m[1]: (m[2], {int(c) for c in re.findall(r"\d", m[3])})
         for m in re.finditer(r"^\| `(\w+)` \| `([\w.]+)` \|.*?\| ([\d, ]+) \|", PAGE, re.M)
@@ -44,10 +44,10 @@
 
 
 def test_the_page_lists_every_type_with_its_module_exit_code_and_advice():
-    told, kinds = rows(), {kind.__name__: kind for kind in every_type()}
-    assert set(told) == set(kinds)
+    documented, kinds = rows(), {kind.__name__: kind for kind in all_error_types()}
+    assert set(documented) == set(kinds)
     for name, kind in kinds.items():
-        module, codes = told[name]
+        module, codes = documented[name]
         assert module == kind.__module__
         assert kind.exit_code in codes
         for advice in [kind.advice, *getattr(kind, "advices", {}).values()]:
@@ -55,7 +55,7 @@
 
 
 def test_each_type_says_in_one_sentence_what_to_do():
-    for kind in every_type():
+    for kind in all_error_types():
         advices = [*getattr(kind, "advices", {}).values()] or [kind.advice]
         if kind.__name__ == "AdminError":
             from lapiswing.admin.client import ADVICE
@@ -65,9 +65,9 @@
             assert advice.endswith(".") and len(advice) > 20 and not re.search(r"\.\s", advice), advice
 
 
-def test_control_flow_inside_packages_stays_outside():
-    """What is caught within its own package is no error for operators."""
-    names = {kind.__name__ for kind in every_type()}
+def test_internal_exceptions_are_not_operator_errors():
+    """Exceptions caught within their own package are not for operators."""
+    names = {kind.__name__ for kind in all_error_types()}
     assert not names & {
         "Bad",
         "Wrong",
@@ -99,7 +99,7 @@
     assert second.startswith("To do: See that a gateway")
 
 
-def test_settings_faults_are_told_line_by_line_with_what_to_do(tmp_path):
+def test_invalid_settings_are_reported_line_by_line_with_advice(tmp_path):
     file = tmp_path / "s.txtpb"
     file.write_text('gateway { name: "x" }\ngroup { name: "a" effect: REPLAYABLE target_ms: 0 }\n')
     result = CliRunner().invoke(main, ["serve", str(file)])
@@ -109,9 +109,9 @@
     assert lines[-1].startswith("To do: Mend")
 
 
-def test_text_from_elsewhere_can_not_drive_the_terminal():
-    from lapiswing.cli.common import Told
+def test_foreign_text_can_not_control_the_terminal():
     from lapiswing.admin.client import AdminError
+    from lapiswing.cli.common import Told
 
     runner, problem = CliRunner(), Told(AdminError("", "no such box: \x1b[2J", 404))
     with runner.isolation() as streams:
@@ -119,7 +119,7 @@
         assert b"\x1b" not in streams[1].getvalue() + streams[0].getvalue()
 
 
-def test_an_address_in_use_is_told_with_its_address(tmp_path):
+def test_an_address_in_use_is_reported_with_the_address(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -131,7 +131,7 @@
     assert "To do: " + CantListen.advice in result.output
 
 
-def test_the_platform_door_tells_both_lines_and_ends_with_2(tmp_path):
+def test_the_platform_gateway_prints_both_lines_and_exits_with_2(tmp_path):
     config = tmp_path / "config.json"
     config.write_text("{")
     done = subprocess.run(
@@ -142,16 +142,16 @@
     assert second.startswith("Mend")
 
 
-def test_main_alone_knows_the_other_commands():
-    """No module of the command line imports another one but `common`, so none can come round to itself."""
+def test_only_main_imports_the_other_commands():
+    """No module of the command line imports another one except `common`, so there are no import cycles."""
     folder = ROOT / "lapiswing" / "cli"
     for file in folder.glob("*.py"):
-        known = {
+        imported = {
             node.module
             for node in ast.walk(ast.parse(file.read_text()))
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("lapiswing.cli")
         }
-        assert file.name == "main.py" or known <= {"lapiswing.cli.common"}, (file.name, known)
-    for file in (ROOT / "lapiswing").rglob("*.py"):  # and nothing below the command line imports it
+        assert file.name == "main.py" or imported <= {"lapiswing.cli.common"}, (file.name, imported)
+    for file in (ROOT / "lapiswing").rglob("*.py"):  # and no other package imports the command line
         if folder not in file.parents and file.name != "__main__.py":
             assert "lapiswing.cli.main" not in file.read_text(), file
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The platform's door, against stand-ins of its servers and discovery."""
+"""The platform adapter, against stand-ins of the platform's servers and discovery."""
 
 import gc
 import json
@@ -8,29 +8,29 @@
 import sys
 import time
 import weakref
+from trace import Recorder
 
 import pytest
 from platform_harness import BODY, SETTINGS, PlatformHarness, RecordingLog, head
-from trace import Recorder
 
 from lapiswing.gateway import core as core_module
 from lapiswing.loop import address_of, free_ports
 from lapiswing.loop.stream import Stream
 from lapiswing.membership import Membership
+from lapiswing.membership.starts import ServerStarts
 from lapiswing.node import serve as node_serve
 from lapiswing.node import servers as node_servers
 from lapiswing.node import view
 from lapiswing.node.config import check_settings, load
-from lapiswing.membership.starts import ServerStarts
 from lapiswing.node.discovery import LIST_DECODER, WATCH_WAIT_MS, ServerList
-from lapiswing.node.outcomes import parse_load, of_failure, of_status
+from lapiswing.node.outcomes import of_failure, of_status, parse_load
 from lapiswing.policy import Router
 from lapiswing.standin.platform import Discovery
 
 S = 1_000_000
 
 
-def test_a_req_is_read_and_written_and_its_stream_passed_on_unchanged(tmp_path):
+def test_a_request_is_prefilled_and_decoded_and_its_stream_passed_on_unchanged(tmp_path):
     with PlatformHarness(tmp_path) as harness:
         for server in harness.platform.servers.values():
             server.load = b"TEXT inflight=1, queue=0, x0=0.2, x1=0.1"
@@ -43,19 +43,19 @@
         harness.wait_settled()
 
 
-def test_a_req_leaves_nothing_behind_without_a_collection(tmp_path):
-    """Seen: memory grew by 0.13 of G on a day of churn, as bodies hung on cycles of ended reqs."""
+def test_a_request_leaves_nothing_behind_without_garbage_collection(tmp_path):
+    """Bodies kept alive by reference cycles of ended requests let the memory grow."""
     with PlatformHarness(tmp_path, ("read", "write", "both")) as harness:
         seen = []
         for module, name in ((core_module, "Req"), (node_servers, "ServerAttempt")):
-            made = getattr(module, name)
-            made_init = made.__init__
+            tracked = getattr(module, name)
+            original_init = tracked.__init__
 
-            def init(self, *args, made_init=made_init):
-                made_init(self, *args)
+            def init(self, *args, original_init=original_init):
+                original_init(self, *args)
                 seen.append(weakref.ref(self))
 
-            made.__init__ = init
+            tracked.__init__ = init
             harness.loop.soon(lambda: None)
             try:
                 gc.collect()
@@ -67,15 +67,15 @@
                 harness.until(lambda: not harness.node.server.connections)
                 harness.loop.run_until(lambda: False, 30_000)
             finally:
-                made.__init__ = made_init
+                tracked.__init__ = original_init
                 gc.enable()
         assert len(seen) >= 12
-        # One may still be held by the timers of its own that have not come due.
+        # None may be kept alive, not even by timers that are not due yet.
         assert sum(ref() is not None for ref in seen) == 0, [type(ref()) for ref in seen if ref() is not None]
 
 
-def spoilt(answer, after=0):
-    """A fault: one answer of these bytes in place of a whole one; the connection stays open."""
+def invalid_answer(answer, after=0):
+    """-> a fault: these bytes once in place of a complete answer; the connection stays open."""
     left = [1]
 
     def fault(exchange):
@@ -88,9 +88,9 @@
     return fault
 
 
-def test_a_release_does_not_reach_the_state_of_the_next_read(tmp_path):
-    """Seen: of 30 writes spoilt before their first event, all but a few were pushed back. The next writer had no state to
-    fetch, the module read again, and the release of the first state dropped the second."""
+def test_a_release_does_not_drop_the_state_of_the_next_prefill(tmp_path):
+    """When a decode fails before its first event, the next decode server finds no state to fetch and the router prefills again.
+    If the release of the first state then drops the second one, the request is rejected."""
     with PlatformHarness(tmp_path, ("read", "write", "write", "write")) as harness:
         reader, *writers = harness.platform.servers.values()
         reader.read_us = 60_000
@@ -100,7 +100,7 @@
             if exchange.path != b"/v1/chat/completions" or first:
                 return False
             first.append(exchange)
-            reader.states.clear()  # this one has fetched it
+            reader.states.clear()  # the decode server has fetched the state
             exchange.write(b"\x00\x01 noise\r\n\r\n")
             return True
 
@@ -110,43 +110,43 @@
         assert client.status == 200 and not client.truncated
         harness.wait_settled()
         rows = [(row[1], row[0]) for row in harness.platform.seen()]
-        assert [r for r in rows if r[0] == b"POST"].count((b"POST", "s-1")) == 2  # read once more, and no third time
+        assert [r for r in rows if r[0] == b"POST"].count((b"POST", "s-1")) == 2  # one more prefill, and no third one
 
 
-def bad(**fields):
+def invalid(**fields):
     return head("b1", **fields) + BODY
 
 
-BAD = {
-    "no id": bad(Req_Id=None),
-    "unreadable id": bad(Req_Id="a b"),
-    "unknown class": bad(Req_Kind="chat_x"),
-    "no class": bad(Req_Kind=None),
-    "deadline is a word": bad(Req_Deadline="soon"),
-    "deadline nan": bad(Req_Deadline="nan"),
-    "deadline negative": bad(Req_Deadline="-1"),
-    "no deadline": bad(Req_Deadline=None),
-    "tokens are no number": bad(Req_Extra="prompt_len=-5"),
+INVALID_REQUESTS = {
+    "no id": invalid(Req_Id=None),
+    "unreadable id": invalid(Req_Id="a b"),
+    "unknown class": invalid(Req_Kind="chat_x"),
+    "no class": invalid(Req_Kind=None),
+    "deadline is not a number": invalid(Req_Deadline="soon"),
+    "deadline nan": invalid(Req_Deadline="nan"),
+    "deadline negative": invalid(Req_Deadline="-1"),
+    "no deadline": invalid(Req_Deadline=None),
+    "tokens are not a number": invalid(Req_Extra="prompt_len=-5"),
     "no body": head("b1", b""),
     "not json": head("b1", b"{") + b"{",
-    "no chat": head("b1", b"[]") + b"[]",
-    "length negative": bad(Content_Length="-1"),
-    "length huge": bad(Content_Length="99999999999999999999"),
-    "60 MB": bad(Content_Length=str(60 << 20)),
-    "chunked and length": bad(Transfer_Encoding="chunked"),
-    "length wrong": bad(Content_Length=str(len(BODY) - 7)),
-    "other path": bad(path="/x"),
-    "other method": bad(method="PUT"),
+    "no chat request": head("b1", b"[]") + b"[]",
+    "length negative": invalid(Content_Length="-1"),
+    "length huge": invalid(Content_Length="99999999999999999999"),
+    "60 MB": invalid(Content_Length=str(60 << 20)),
+    "chunked and length": invalid(Transfer_Encoding="chunked"),
+    "length wrong": invalid(Content_Length=str(len(BODY) - 7)),
+    "other path": invalid(path="/x"),
+    "other method": invalid(method="PUT"),
     "noise": b"\x00\xff\x17 noise\r\n\r\n",
     "long head": b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 4000,
-    "another's id twice": head("b1").replace(b"Req-Kind", b"Req-Id: b2\r\nReq-Kind") + BODY,
+    "two ids": head("b1").replace(b"Req-Kind", b"Req-Id: b2\r\nReq-Kind") + BODY,
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_a_bad_client_gets_an_error_or_a_close_and_nothing_goes_on(tmp_path, name):
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+def test_an_invalid_request_gets_an_error_or_a_close_and_reaches_no_server(tmp_path, name):
     with PlatformHarness(tmp_path) as harness:
-        client = harness.client(BAD[name])
+        client = harness.client(INVALID_REQUESTS[name])
         harness.until(client.ended, 3_000_000)
         assert client.closed or 400 <= client.status < 600
         harness.until(lambda: not harness.node.server.connections, 3_000_000)
@@ -154,23 +154,23 @@
         assert harness.ask("good").wait_answer().status == 200
 
 
-def test_what_stands_behind_a_bad_request_is_not_read(tmp_path):
-    """Seen: 500 bad requests in one piece held the loop for 30 ms."""
+def test_input_behind_an_invalid_request_is_not_parsed(tmp_path):
+    """500 invalid requests in one piece would block the loop for 30 ms."""
     with PlatformHarness(tmp_path) as harness:
-        client = harness.client(bad(Req_Kind="x") * 300).wait_answer()
+        client = harness.client(invalid(Req_Kind="x") * 300).wait_answer()
         harness.until(lambda: client.ended() and client.closed)
         assert client.got.count(b"HTTP/1.1 400") <= 1 and harness.node.server.requests == 1
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /v1", head("h1")[:-2], head("h1") + BODY[:10]])
-def test_a_request_that_does_not_come_is_closed_within_3_s_of_connecting(tmp_path, sent):
+def test_a_connection_without_a_complete_request_is_closed_within_3_s(tmp_path, sent):
     with PlatformHarness(tmp_path) as harness:
         client, begun = harness.client(sent), harness.loop.clock.now_us()
         harness.until(client.ended, 4_000_000)
         assert harness.loop.clock.now_us() - begun < 2_900_000 and not harness.platform.seen(b"POST")
 
 
-def test_the_id_of_an_open_request_is_refused(tmp_path):
+def test_a_request_with_the_id_of_an_open_one_is_refused(tmp_path):
     with PlatformHarness(tmp_path) as harness:
         harness.platform.servers["s-1"].read_us = 200_000
         first = harness.ask("same")
@@ -181,18 +181,18 @@
         harness.wait_settled()
 
 
-def test_hundreds_of_silent_connections_leave_room_for_usual_clients(tmp_path):
+def test_hundreds_of_silent_connections_leave_room_for_normal_clients(tmp_path):
     with PlatformHarness(tmp_path, sockets=128) as harness:
-        most = harness.node.clients
-        silent = [harness.client() for _ in range(most + 40)]
-        harness.until(lambda: harness.node.listener.open >= most)
+        limit = harness.node.clients
+        silent = [harness.client() for _ in range(limit + 40)]
+        harness.until(lambda: harness.node.listener.open >= limit)
         assert all(harness.ask(f"u{i}").wait_answer().status == 200 for i in range(5))
-        assert harness.node.listener.open <= most
+        assert harness.node.listener.open <= limit
         for client in silent:
             client.close()
 
 
-NOISE = {
+INVALID_ANSWERS = {
     "noise": b"\x00\x01\x02 noise\r\n\r\n",
     "no status": b"HTTP/1.1 2x0 OK\r\n\r\n",
     "bad chunk size": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\ndata: {}\n\n\r\n",
@@ -201,8 +201,8 @@
 }
 
 
-@pytest.mark.parametrize("name", NOISE)
-def test_an_answer_spoilt_before_its_first_event_is_a_failed_forward(tmp_path, name):
+@pytest.mark.parametrize("name", INVALID_ANSWERS)
+def test_an_answer_that_is_invalid_before_its_first_event_is_a_failed_attempt(tmp_path, name):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         left = [1]
 
@@ -210,7 +210,7 @@
             if exchange.path != b"/v1/chat/completions" or not left:
                 return False
             left.pop()
-            exchange.write(NOISE[name])
+            exchange.write(INVALID_ANSWERS[name])
             return True
 
         for server in harness.platform.servers.values():
@@ -225,7 +225,7 @@
     len(EVENT),
     EVENT,
 )
-LATER = {
+INVALID_CONTINUATIONS = {
     "size unreadable": b"zz\r\n" + EVENT,
     "size too small": b"4\r\n" + EVENT + b"\r\n",
     "size too big": b"%x\r\n%b\r\n" % (len(EVENT) + 40, EVENT),
@@ -235,15 +235,15 @@
 }
 
 
-@pytest.mark.parametrize("name", LATER)
-def test_an_answer_spoilt_later_ends_the_client_without_the_last_chunk(tmp_path, name):
+@pytest.mark.parametrize("name", INVALID_CONTINUATIONS)
+def test_an_answer_that_becomes_invalid_later_ends_without_the_last_chunk(tmp_path, name):
     with PlatformHarness(tmp_path, ("both",)) as harness:
 
         def fault(exchange):
             if exchange.path != b"/v1/chat/completions":
                 return False
             exchange.write(START)
-            harness.loop.call_later(30_000, exchange.write, LATER[name])
+            harness.loop.call_later(30_000, exchange.write, INVALID_CONTINUATIONS[name])
             return True
 
         harness.platform.servers["s-1"].fault = fault
@@ -254,17 +254,17 @@
         harness.wait_settled()
 
 
-MORE = {
+EXTRA_BYTES = {
     "1xx ahead": (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n", b""),
     "second answer behind": (b"", b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"),
     "noise behind": (b"", b"\x00\x01\x02"),
 }
 
 
-@pytest.mark.parametrize("name", MORE)
-def test_what_does_not_belong_to_a_good_answer_does_no_harm(tmp_path, name):
+@pytest.mark.parametrize("name", EXTRA_BYTES)
+def test_bytes_around_a_valid_answer_do_no_harm(tmp_path, name):
     with PlatformHarness(tmp_path, ("both",)) as harness:
-        ahead, behind = MORE[name]
+        ahead, behind = EXTRA_BYTES[name]
         server = harness.platform.servers["s-1"]
 
         def fault(exchange):
@@ -284,10 +284,10 @@
         harness.wait_settled()
 
 
-def test_a_stream_that_stops_short_ends_its_client_within_5_s(tmp_path):
-    """Seen: two clients left waiting on streams that had stopped broke the rule on lost requests."""
+def test_a_stream_that_stops_is_ended_for_its_client_within_5_s(tmp_path):
+    """A client left waiting on a stream that has stopped counts as a lost request."""
     with PlatformHarness(tmp_path, ("both",)) as harness:
-        harness.platform.servers["s-1"].fault = spoilt(START)
+        harness.platform.servers["s-1"].fault = invalid_answer(START)
         client = harness.ask("a1")
         harness.until(lambda: EVENT in client.receive())
         begun = harness.loop.clock.now_us()
@@ -299,7 +299,7 @@
 # ---- discovery, signals, configuration
 
 
-def test_servers_come_drain_and_go_by_the_watch(tmp_path):
+def test_servers_are_added_drained_and_removed_by_the_watch(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         platform, old = harness.platform, harness.platform.servers["s-1"]
         new = platform.add("both")
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "garbage"])
-def test_discovery_that_says_nothing_to_be_read_leaves_the_list_standing(tmp_path, how):
+def test_the_list_stays_in_use_while_discovery_is_silent_or_unreadable(tmp_path, how):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         discovery = harness.platform.discovery
         setattr(discovery, how, True)
@@ -328,7 +328,7 @@
         harness.until(lambda: any("discovery heard" in line for line in harness.log.lines), 8_000_000)
 
 
-def test_a_reload_moves_to_the_new_discovery_under_load_and_a_bad_file_changes_nothing(tmp_path):
+def test_a_reload_changes_discovery_under_load_and_an_invalid_file_changes_nothing(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         server = harness.platform.servers["s-1"]
         server.pause_us = 100_000
@@ -352,7 +352,7 @@
         other.server.close()
 
 
-def test_sigterm_ends_what_was_taken_and_sends_others_away(tmp_path):
+def test_after_sigterm_accepted_requests_are_served_and_others_rejected(tmp_path):
     with PlatformHarness(tmp_path, ("both",)) as harness:
         server, stopped = harness.platform.servers["s-1"], []
         server.pause_us = 250_000
@@ -361,7 +361,7 @@
         client = harness.ask("a1")
         harness.until(lambda: client.status)
         harness.node.stop()
-        harness.node.stop()  # a second one does no harm
+        harness.node.stop()  # a second signal has no effect
         late = harness.ask("a2").wait_answer()
         kept.got = b""
         kept.send(head("a3") + BODY)
@@ -373,7 +373,7 @@
         assert not harness.core.reqs and [row[3] for row in harness.platform.seen(b"POST")] == ["a0", "a1"]
 
 
-FAULTS = {
+INVALID_CONFIGURATIONS = {
     "file: not JSON": lambda c: "{",
     "seed: not a hexadecimal": lambda c: c | {"seed": "xyz"},
     "limits.sockets: Expected `int`": lambda c: c | {"limits": {"cores": 1, "memory_mb": 64, "sockets": "many"}},
@@ -386,10 +386,10 @@
 }
 
 
-@pytest.mark.parametrize("said", FAULTS)
-def test_a_bad_configuration_is_told_by_file_field_and_reason(tmp_path, said):
+@pytest.mark.parametrize("message", INVALID_CONFIGURATIONS)
+def test_an_invalid_configuration_is_reported_with_file_field_and_reason(tmp_path, message):
     path = tmp_path / "config.json"
-    good = {
+    valid = {
         "name": "n",
         "listen": "127.0.0.1:9",
         "discovery": "127.0.0.1:8",
@@ -397,9 +397,9 @@
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "settings": SETTINGS,
     }
-    path.write_text(json.dumps(good))
+    path.write_text(json.dumps(valid))
     load(str(path))
-    value = FAULTS[said](good)
+    value = INVALID_CONFIGURATIONS[message](valid)
     path.write_text(value if isinstance(value, str) else json.dumps(value))
     done = subprocess.run(
         [sys.executable, "-m", "lapiswing.node"],
@@ -408,7 +408,7 @@
         text=True,
         timeout=30,
     )
-    assert done.returncode == 2 and f"{path}: {said}" in done.stderr
+    assert done.returncode == 2 and f"{path}: {message}" in done.stderr
 
 
 def test_the_program_serves_and_ends_on_sigterm(tmp_path):
@@ -435,10 +435,10 @@
             program.stderr.close()
 
 
-# ---- forwards, states
+# ---- attempts, states
 
 
-def test_what_comes_back_from_a_server_is_told_as_the_protocol_has_it():
+def test_answers_and_failures_of_a_server_map_to_outcome_codes():
     assert [of_status(s, d) for s, d in ((200, False), (202, False), (503, True), (504, True), (410, True))] == [
         ("stream", None),
         ("read", None),
@@ -457,11 +457,11 @@
     ]
     names = {"queue", "x0"}
     assert parse_load(b"TEXT queue=2, x0=0.5, other=1", names) == {"queue": 2.0, "held": 0.5}
-    for bad_report in (None, b"", b"TEXT queue=", b"queue=nan", b"queue=-1", b"\xff" * 9, b"queue=1," * 100):
-        assert parse_load(bad_report, names) is None
+    for invalid_report in (None, b"", b"TEXT queue=", b"queue=nan", b"queue=-1", b"\xff" * 9, b"queue=1," * 100):
+        assert parse_load(invalid_report, names) is None
 
 
-def test_a_client_that_leaves_takes_its_forward_back_and_its_state_is_released(tmp_path):
+def test_when_a_client_leaves_its_attempt_is_cancelled_and_its_state_released(tmp_path):
     with PlatformHarness(tmp_path) as harness:
         reader = harness.platform.servers["s-1"]
         reader.read_us = 300_000
@@ -473,15 +473,15 @@
         assert [row[1:4] for row in harness.platform.seen(b"DELETE")] == [(b"DELETE", b"/bootstrap/rooms/a1", "")]
 
 
-def test_a_release_goes_to_another_server_where_its_holder_is_cut_off(tmp_path):
+def test_a_release_goes_to_another_server_if_its_holder_is_unreachable(tmp_path):
     with PlatformHarness(tmp_path) as harness:
         reader, *writers = harness.platform.servers.values()
         begun = []
 
-        def gone(exchange):  # holds the state and answers nothing more
+        def unreachable(exchange):  # holds the state and answers no release
             return exchange.method == b"DELETE"
 
-        reader.fault = gone
+        reader.fault = unreachable
 
         def error(exchange):
             if exchange.path == b"/v1/chat/completions":
@@ -493,13 +493,13 @@
             writer.fault = error
         client = harness.ask("a1").wait_answer()
         assert client.status in (502, 503)
-        told = lambda: [row for row in harness.platform.seen(b"DELETE") if row[0] != "s-1"]  # noqa: E731
-        harness.until(told)
-        assert harness.loop.clock.now_us() - begun[-1] < 500_000  # the platform's time for it
+        releases = lambda: [row for row in harness.platform.seen(b"DELETE") if row[0] != "s-1"]  # noqa: E731
+        harness.until(releases)
+        assert harness.loop.clock.now_us() - begun[-1] < 500_000  # the platform's time limit
         harness.wait_settled()
 
 
-def test_a_server_that_is_not_there_proves_that_the_forward_did_not_run(tmp_path):
+def test_a_failed_connection_proves_that_the_attempt_did_not_run(tmp_path):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         dead = harness.platform.servers["s-1"]
         dead.server.listener.close()
@@ -509,22 +509,22 @@
         assert all(row[0] == "s-2" for row in harness.platform.seen(b"POST"))
 
 
-class Heard(Router):
+class RecordingRouter(Router):
     def round(self, now_us, events, out):
-        self.heard = getattr(self, "heard", []) + [e for e in events if e[0] == "req"]
+        self.recorded = getattr(self, "recorded", []) + [e for e in events if e[0] == "req"]
         super().round(now_us, events, out)
 
 
-def test_the_module_hears_what_the_client_said(tmp_path, monkeypatch):
-    monkeypatch.setattr(node_serve.Node.__init__, "__defaults__", (None, Heard))
+def test_the_router_gets_the_clients_fields(tmp_path, monkeypatch):
+    monkeypatch.setattr(node_serve.Node.__init__, "__defaults__", (None, RecordingRouter))
     with PlatformHarness(tmp_path, ("both",)) as harness:
         now = harness.loop.clock.now_us()
         harness.ask("a1", Req_Retry="1").wait_answer()
         harness.ask("a2", Req_Retry="again", Req_Key=None, Req_Extra=None, Req_Deadline="0.5").wait_answer()
-        (_, rid, tokens, expires, session, prefix, prefix_tokens, most_out, hint, bits, tenant, group), two = (
-            harness.core.router.heard
+        (_, rid, tokens, expires, session, prefix, prefix_tokens, max_out, hint, bits, tenant, group), two = (
+            harness.core.router.recorded
         )
-        assert (rid, tokens, session, prefix, prefix_tokens, most_out, hint, bits, tenant, group) == (
+        assert (rid, tokens, session, prefix, prefix_tokens, max_out, hint, bits, tenant, group) == (
             "a1",
             100,
             "k1",
@@ -536,22 +536,24 @@
             0,
             0,
         )
-        # From the request's first byte on, which came after `now`; a turn ready at once counts from the one before it.
+        # Counted from the request's first byte, which came after `now`; input that was ready at once counts from the turn before.
         assert 3 * S - 50_000 <= expires - now < 3.2 * S
         assert two[2:3] + two[4:7] + two[9:10] == (len(BODY) // 4, None, None, 0, 16)
 
 
-def test_what_the_module_gives_up_on_is_answered_at_once_with_when_to_come_back(tmp_path):
-    with PlatformHarness(tmp_path, ("read",)) as harness:  # nobody writes
+def test_a_rejected_request_is_answered_at_once_with_a_retry_after_time(tmp_path):
+    with PlatformHarness(tmp_path, ("read",)) as harness:  # no decode server
         begun = harness.loop.clock.now_us()
         client = harness.ask("a1").wait_answer()
         assert client.status == 503 and b"retry-after: " in client.got.lower()
         assert harness.loop.clock.now_us() - begun < 500_000 and not harness.platform.seen(b"POST")
 
 
-@pytest.mark.parametrize("status, held, left", [(200, True, True), (409, False, False), (404, False, False), (204, None, True)])
-def test_a_held_place_is_told_and_released(tmp_path, status, held, left):
-    """A place may be held though the server does not know."""
+@pytest.mark.parametrize(
+    "status, held, release_expected", [(200, True, True), (409, False, False), (404, False, False), (204, None, True)]
+)
+def test_a_held_place_is_reported_and_released(tmp_path, status, held, release_expected):
+    """After an unclear answer the place may be held, so it is released as well."""
     with PlatformHarness(tmp_path) as harness:
         reader, writer, _ = harness.platform.servers.values()
         reader.read_us = 100_000
@@ -564,17 +566,17 @@
         writer.fault = fault
         client = harness.ask("a1")
         harness.until(lambda: reader.seen)
-        told = []
-        harness.core.place_answered, real = lambda *args: (told.append(args[-1]), real(*args)), harness.core.place_answered
+        results = []
+        harness.core.place_answered, real = lambda *args: (results.append(args[-1]), real(*args)), harness.core.place_answered
         harness.core.hold_place("a1", writer.name)
-        harness.until(lambda: told)
-        assert told == [held] and (harness.core.reqs["a1"].left is not None) == left
+        harness.until(lambda: results)
+        assert results == [held] and (harness.core.reqs["a1"].left is not None) == release_expected
         client.close()
         harness.wait_settled()
         assert harness.platform.seen(b"DELETE")
 
 
-def test_the_view_of_each_server_is_what_the_sockets_show(tmp_path):
+def test_the_recorded_state_of_each_server_matches_the_sockets(tmp_path):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         for server in harness.platform.servers.values():
             server.pause_us = 100_000
@@ -589,7 +591,7 @@
         harness.wait_settled()
 
 
-def test_thousands_of_servers_and_reqs_leave_nothing_behind(tmp_path):
+def test_thousands_of_servers_and_requests_leave_nothing_behind(tmp_path):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         core, rows = harness.core, harness.node.server_list
         first = list(rows.rows.values())
@@ -610,27 +612,27 @@
         assert len(harness.loop.watched) < 40 and len([t for t in harness.loop.timers if t[2].call is not None]) < 20
 
 
-def test_room_is_looked_for_once_a_turn(tmp_path, monkeypatch):
-    """Seen: 9,500 connections that asked once and stayed took a whole core; the search for room peeked at each of
-    hundreds for each one accepted, and reqs waited 0.9 s."""
+def test_room_is_sought_once_a_turn(tmp_path, monkeypatch):
+    """With 9,500 connections that sent one request and stayed open, a search for room at each accepted connection, which peeks
+    at hundreds of others, took a whole core, and requests waited 0.9 s."""
     peeks, real = [], Stream.pending
     monkeypatch.setattr(Stream, "pending", lambda self: peeks.append(1) or real(self))
     with PlatformHarness(tmp_path, sockets=128) as harness:
-        most = harness.node.clients
-        crowd = [harness.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(4 * most)]
+        limit = harness.node.clients
+        clients = [harness.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(4 * limit)]
         turns = harness.loop.turns
-        harness.until(lambda: all(c.ended() for c in crowd))
+        harness.until(lambda: all(c.ended() for c in clients))
         assert len(peeks) <= 64 * (harness.loop.turns - turns)
         assert harness.node.listener.refused == 0  # each was answered
-        for client in crowd:
+        for client in clients:
             client.close()
 
 
-def rows_of(*endpoints, index=5, snapshot=True):
+def targets_of(*endpoints, index=5, snapshot=True):
     return LIST_DECODER.decode(json.dumps({"index": index, "snapshot": snapshot, "endpoints": endpoints}).encode())
 
 
-def endpoint(name, status="SERVING", **more):
+def endpoint(name, status="SERVING", **fields):
     return {
         "name": name,
         "address": "127.0.0.1:9000",
@@ -640,12 +642,12 @@
         "status": status,
         "weight": 1.0,
         "since_ms": 0,
-        **more,
+        **fields,
     }
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "unreadable",
     [
         endpoint("bad", status="SLEEPING"),
         endpoint("bad", type="m9"),
@@ -655,44 +657,44 @@
         {"name": "bad"},
     ],
 )
-def test_a_row_that_can_not_be_read_costs_that_one_alone(bad):
-    """The others of the list stand as told; a server whose own row can't be read gets nothing new."""
+def test_an_unreadable_row_affects_only_its_own_server(unreadable):
+    """The other rows are applied; a server whose own row can't be read gets no new requests."""
     rows, log = ServerList(["read"], ["a"], ServerStarts(0)), RecordingLog()
-    rows.apply(rows_of(endpoint("s-1"), endpoint("bad"), endpoint("s-2")), 1)
-    rows.apply(rows_of(bad, endpoint("s-2", status="DRAINING"), endpoint("s-3"), index=6, snapshot=False), 1)
+    rows.apply(targets_of(endpoint("s-1"), endpoint("bad"), endpoint("s-2")), 1)
+    rows.apply(targets_of(unreadable, endpoint("s-2", status="DRAINING"), endpoint("s-3"), index=6, snapshot=False), 1)
     assert {name: row.mode for name, row in rows.rows.items()} == {"s-1": "ready", "s-2": "draining", "s-3": "ready"}
     rows.log_faults(log)
-    rows.apply(rows_of(bad, endpoint("s-1"), index=7), 1)
+    rows.apply(targets_of(unreadable, endpoint("s-1"), index=7), 1)
     rows.log_faults(log)
     assert list(rows.rows) == ["s-1"] and len(log.lines) == 1 and log.lines[0][1]["count"] == 1
     with pytest.raises(ValueError):
-        rows.apply(rows_of(bad, index=8), 1)
+        rows.apply(targets_of(unreadable, index=8), 1)
     assert list(rows.rows) == ["s-1"] and rows.index == 7
 
 
-def test_a_change_without_a_name_asks_for_the_whole_list(tmp_path):
+def test_an_unreadable_change_without_a_name_leads_to_a_request_for_the_whole_list(tmp_path):
     with PlatformHarness(tmp_path) as harness:
-        discovery, asked = harness.node.discovery, []
-        discovery.pool.request = lambda address, method, target, *rest: asked.append(target) or Still()
+        discovery, targets = harness.node.discovery, []
+        discovery.pool.request = lambda address, method, target, *rest: targets.append(target) or OpenExchange()
         for body in (
             b'{"index":90,"snapshot":false,"endpoints":[7]}',
             b'{"index":91,"snapshot":true,"endpoints":[7,' + json.dumps(endpoint("s-9")).encode() + b"]}",
         ):
             discovery.answered(discovery.call, 200, body)
-        assert asked == [b"/api/targets", b"/api/targets?after=91&wait_ms=%d" % WATCH_WAIT_MS]
+        assert targets == [b"/api/targets", b"/api/targets?after=91&wait_ms=%d" % WATCH_WAIT_MS]
 
 
-class Still:
+class OpenExchange:
     def cancel(self):
         pass
 
 
-def test_lists_of_1100_servers_and_1100_gateways_are_taken_changed_and_replaced():
-    """No cap below 1,024 on either, in bounded time."""
+def test_lists_of_1100_servers_and_1100_gateways_are_applied_changed_and_replaced():
+    """At least 1,024 of each are supported, in bounded time."""
     rows, members, out = ServerList(["read", "write", "both"], ["a", "b"], ServerStarts(0)), Membership(), Recorder()
     router = Router(7, check_settings("config.json", {**SETTINGS, "Balancers": 1100}), 0)
 
-    def some(first, many, **more):
+    def endpoints_of(first, count, **fields):
         return [
             endpoint(
                 f"s-{n}",
@@ -700,16 +702,16 @@
                 zone="ab"[n % 2],
                 group=n // 6,
                 address=f"127.0.0.1:{n + 1}",
-                **more,
+                **fields,
             )
-            for n in range(first, first + many)
+            for n in range(first, first + count)
         ]
 
     for step, (endpoints, snapshot) in enumerate(
-        [(some(0, 1100), True), (some(0, 40, status="DRAINING"), False), (some(2000, 1100), True)]
+        [(endpoints_of(0, 1100), True), (endpoints_of(0, 40, status="DRAINING"), False), (endpoints_of(2000, 1100), True)]
     ):
         now, before = (step + 1) * S, time.process_time()
-        rows.apply(rows_of(*endpoints, index=step, snapshot=snapshot), 1)
+        rows.apply(targets_of(*endpoints, index=step, snapshot=snapshot), 1)
         router.round(now, [members.update_list(list(rows.rows.values()), now)], out)
         for n in range(3):
             router.round(now, [("req", f"{step}.{n}", 900, now + 5 * S, f"k{n}", None, 0, 200, None, 0, 0, 0)], out)
--- a/tests/test_release_targets.py
+++ b/tests/test_release_targets.py
@@ -1,13 +1,11 @@
-"""Releases while servers can't be reached: each is heard by one that answers within half of the time there is
-for it.
+"""Releases while servers are unreachable: each arrives at a running server within half of its time limit.
 
-Seen: `pinned` broken on days when a zone is cut off, as a release went to its holder and then to one server
-after another, in an order that knew nothing of who can be reached."""
+When a zone is cut off, a release that goes to the holder and then to one server after another, regardless of which are
+reachable, arrives too late and the state is held for too long."""
 
 import random
 
 import pytest
-
 from platform_harness import PlatformHarness
 
 from lapiswing.loop import Loop, ManualClock
@@ -15,7 +13,7 @@
 from lapiswing.node.servers import Servers
 
 MS = 1000
-LET_GO_US = 400 * MS
+RELEASE_US = 400 * MS
 
 
 class Exchange:
@@ -24,12 +22,12 @@
 
 
 class Network:
-    """In place of the pool: `cut` servers say nothing, of the others' answers a share is lost, and `dead`
-    ones refuse. A call is heard by a server that runs after 1 ms, its answer is back after another."""
+    """Replaces the pool. Servers in `cut` do not answer, those in `dead` refuse, and a share of the others' answers is lost. A
+    call arrives after 1 ms, its answer after another."""
 
     def __init__(self, loop, seed):
-        self.loop, self.draw = loop, random.Random(seed)
-        self.cut, self.dead, self.lost, self.calls, self.heard = set(), set(), 0.0, 0, {}
+        self.loop, self.rng = loop, random.Random(seed)
+        self.cut, self.dead, self.lost, self.calls, self.arrived_us = set(), set(), 0.0, 0, {}
 
     def request(self, server, method, target, fields, body, handler):
         exchange = Exchange()
@@ -42,14 +40,14 @@
         return exchange
 
     def arrive(self, name, exchange, handler):
-        self.heard.setdefault(name, self.loop.clock.now_us())
+        self.arrived_us.setdefault(name, self.loop.clock.now_us())
 
         def answer():
             if not exchange.over:
                 handler.on_head(204, [])
                 handler.on_end()
 
-        if self.draw.random() >= self.lost:
+        if self.rng.random() >= self.lost:
             self.loop.call_later(MS, answer)
 
 
@@ -58,27 +56,27 @@
         self.loop = Loop(ManualClock())
         self.network = Network(self.loop, seed)
         self.zones = {f"s-{i}": i % zones for i in range(servers)}
-        self.servers = Servers(self.loop, self.network, [], False, ReleaseTargets(0, seed), LET_GO_US)
+        self.servers = Servers(self.loop, self.network, [], False, ReleaseTargets(0, seed), RELEASE_US)
         self.servers.set_servers({name: name for name in self.zones}, self.zones)
 
     def of_zones(self, *zones):
         return {name for name, zone in self.zones.items() if zone in zones}
 
     def release(self, holder, name):
-        """-> the time until one that runs has heard it, the calls made; None where none has."""
+        """-> (the time until it arrived at a running server, or None; the number of calls)."""
         begun, calls = self.loop.clock.now_us(), self.network.calls
         self.servers.release(holder, name)
-        self.loop.run_until(lambda: not self.servers.releasing, 10 * LET_GO_US)
+        self.loop.run_until(lambda: not self.servers.releasing, 10 * RELEASE_US)
         assert not self.servers.releasing
-        heard = self.network.heard.get(name)
-        return heard and heard - begun, self.network.calls - calls
+        arrived_us = self.network.arrived_us.get(name)
+        return arrived_us and arrived_us - begun, self.network.calls - calls
 
 
 @pytest.mark.parametrize(
     "how",
     ["own zone cut off", "another zone cut off", "own zone lost", "a fifth silent", "a third gone", "half of the answers lost"],
 )
-def test_each_release_is_heard_within_half_of_its_time_while_servers_are_silent(how):
+def test_each_release_arrives_within_half_of_its_time_while_servers_are_silent(how):
     worst, calls, n = 0, 0, 0
     for seed in range(10):
         site = Site(seed=seed)
@@ -90,25 +88,25 @@
         elif how == "own zone lost":
             net.cut = site.of_zones(0)
         elif how == "a fifth silent":
-            net.cut = set(net.draw.sample(all_, 12))
+            net.cut = set(net.rng.sample(all_, 12))
         elif how == "a third gone":
-            net.dead = set(net.draw.sample(all_, 20))
+            net.dead = set(net.rng.sample(all_, 20))
         else:
             net.lost = 0.5
         for i in range(20):
-            took, said = site.release(net.draw.choice(all_), b"r%d" % i)
-            assert took is not None and took <= LET_GO_US // 2, (how, seed, i, took)
-            worst, calls, n = max(worst, took), calls + said, n + 1
+            took, calls_made = site.release(net.rng.choice(all_), b"r%d" % i)
+            assert took is not None and took <= RELEASE_US // 2, (how, seed, i, took)
+            worst, calls, n = max(worst, took), calls + calls_made, n + 1
     assert calls <= 4.5 * n, f"{how}: {calls / n:.1f} calls for each release"
 
 
-def test_in_calm_one_call_goes_to_the_holder():
+def test_normally_one_call_goes_to_the_holder():
     site = Site()
     for i, holder in enumerate(sorted(site.zones)):
         assert site.release(holder, b"r%d" % i)[1] == 1
 
 
-def test_calls_are_bounded_where_nobody_answers():
+def test_calls_are_bounded_when_no_server_answers():
     site = Site()
     site.network.cut = set(site.zones)
     took, calls = site.release("s-1", b"r")
@@ -118,21 +116,21 @@
     )
 
 
-def test_who_was_heard_goes_before_who_was_silent_and_zones_take_turns():
+def test_answering_servers_precede_silent_ones_and_zones_alternate():
     targets = ReleaseTargets(0, 1)
     targets.set_servers({"a1": 0, "a2": 0, "b1": 1, "b2": 1, "c1": 2})
     targets.record_answer("a2", 10)
     assert targets.all_targets("b1")[:2] == ["b1", "a2"]
     targets.record_silence("b1", 20)
-    line = targets.all_targets("b1")
-    assert line[0] == "a2" and line[1] == "c1" and line[-1] == "b1"  # a zone with a silent one comes last
-    targets.record_answer("b2", 30)  # it answers again
+    order = targets.all_targets("b1")
+    assert order[0] == "a2" and order[1] == "c1" and order[-1] == "b1"  # the zone with a silent server comes last
+    targets.record_answer("b2", 30)  # the zone answers again
     assert targets.all_targets("b2")[:2] == ["b2", "a2"]
     targets.set_servers({"a1": 0})
     assert targets.all_targets("b1") == ["a1"] and not targets.answered_us and not targets.unanswered_us
 
 
-def test_gateways_in_one_trouble_turn_to_different_servers():
+def test_gateways_with_the_same_problem_choose_different_servers():
     zones = {f"s-{i}": 0 for i in range(30)}
     first = set()
     for salt in range(100):
@@ -144,8 +142,8 @@
 
 
 def test_a_state_that_no_decode_server_claims_is_released_in_time_though_an_attempt_is_out(tmp_path):
-    """Found by the soak, seed 1: a kept connection had fallen silent, and the state was held for 1.8 s: what has not arrived
-    is not out, and nothing tells whether it has."""
+    """If a reused connection has fallen silent, nothing tells whether the attempt arrived. The prefill's state was then held for
+    1.8 s."""
     with PlatformHarness(tmp_path, ("read", "write")) as harness:
         reader, writer = harness.platform.servers.values()
         writer.fault = lambda exchange: exchange.method == b"POST"
@@ -154,12 +152,12 @@
         held_us = harness.loop.clock.now_us()
         harness.until(lambda: not reader.states)
         assert harness.loop.clock.now_us() - held_us < 500 * MS
-        assert not client.status  # it still waits: the attempt may have arrived
+        assert not client.status  # the request still waits, as the attempt may have arrived
         client.close()
         harness.wait_settled()
 
 
-def test_a_state_that_is_claimed_in_time_is_not_released_besides(tmp_path):
+def test_a_state_that_is_claimed_in_time_is_not_released_separately(tmp_path):
     with PlatformHarness(tmp_path, ("read", "write")) as harness:
         assert harness.ask("a1").wait_answer().status == 200
         harness.loop.run_until(lambda: False, 600 * MS)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Configurations and ports that are not there for a moment."""
+"""Configuration files and ports that are temporarily unavailable."""
 
 import errno
 import json
@@ -17,9 +17,9 @@
 MS, S = 1000, 1_000_000
 
 
-@pytest.mark.parametrize("how", ["half written", "empty", "no descriptor", "not there"])
-def test_a_configuration_that_can_not_be_read_just_now_is_read_a_moment_later(tmp_path, monkeypatch, how):
-    """The signal comes once. Seen in the reading: what it was for was lost, and changes told at the new address with it."""
+@pytest.mark.parametrize("how", ["half written", "empty", "no descriptor", "missing"])
+def test_a_configuration_that_is_temporarily_unreadable_is_read_again(tmp_path, monkeypatch, how):
+    """The signal comes only once: without a retry the new address would be lost, and with it all changes announced there."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         whole = json.dumps({**harness.config, "discovery": "127.0.0.1:9"})
         old = harness.node.discovery.address
@@ -30,7 +30,7 @@
         if how == "no descriptor":
             harness.path.write_text(whole)
             monkeypatch.setattr(configs, "open", none, raising=False)
-        elif how == "not there":
+        elif how == "missing":
             harness.path.unlink()
         else:
             harness.path.write_text(whole[: len(whole) // 2] if how == "half written" else "")
@@ -43,7 +43,7 @@
         assert sum("can't be read" in event for event, _ in harness.log.lines) == 1
 
 
-def test_a_configuration_that_stays_bad_leaves_the_last_one_and_is_not_tried_for_good(tmp_path, monkeypatch):
+def test_a_configuration_that_stays_invalid_is_ignored_after_some_attempts(tmp_path, monkeypatch):
     monkeypatch.setattr(Node.reload, "__defaults__", (5,))
     monkeypatch.setattr(serve, "RELOAD_ATTEMPTS", 5)
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
@@ -55,17 +55,17 @@
         assert harness.ask("a1").wait_answer().status == 200
 
 
-def configured(folder, harness):
+def write_config(folder, harness):
     path = folder / "own.json"
     (port,) = free_ports(1)
     path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}"}))
     return path, port
 
 
-def test_a_port_that_is_still_taken_is_waited_for(tmp_path):
-    """A process that is being replaced may not have let go of it yet."""
+def test_a_port_in_use_is_waited_for(tmp_path):
+    """A process that is being replaced may not have released it yet."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
-        path, port = configured(tmp_path, harness)
+        path, port = write_config(tmp_path, harness)
         taken = socket.create_server(("127.0.0.1", port))
         log = RecordingLog()
         node = Node(str(path), log, harness.loop)
@@ -79,10 +79,10 @@
         node.close()
 
 
-def test_a_port_that_stays_taken_ends_the_start_with_the_reason(tmp_path, monkeypatch):
+def test_a_port_that_stays_in_use_ends_the_start_with_the_reason(tmp_path, monkeypatch):
     monkeypatch.setattr(serve, "LISTEN_TIMEOUT_US", 400 * MS)
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
-        path, port = configured(tmp_path, harness)
+        path, port = write_config(tmp_path, harness)
         taken = socket.create_server(("127.0.0.1", port))
         node = Node(str(path), RecordingLog(), Loop(Clock()))
         with pytest.raises(CantListen):
@@ -93,9 +93,9 @@
 
 
 def test_a_start_that_finds_its_configuration_half_written_reads_it_again(tmp_path, monkeypatch):
-    """Found by the soak, seed 404: a file that was being replaced as a process started ended it with status 2."""
+    """Otherwise a file that is replaced while a process starts would end it with status 2."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
-        path, port = configured(tmp_path, harness)
+        path, port = write_config(tmp_path, harness)
         whole = path.read_text()
         path.write_text(whole[: len(whole) // 3])
         reads = []
@@ -113,7 +113,7 @@
         node.close()
 
 
-def test_a_start_whose_configuration_stays_bad_ends_with_its_reason(tmp_path, monkeypatch):
+def test_a_start_whose_configuration_stays_invalid_ends_with_the_reason(tmp_path, monkeypatch):
     monkeypatch.setattr(serve, "START_READ_ATTEMPTS", 3)
     (tmp_path / "own.json").write_text("{")
     with pytest.raises(configs.ConfigError, match="not JSON"):
--- a/tests/test_signals_at_start.py
+++ b/tests/test_signals_at_start.py
@@ -1,4 +1,4 @@
-"""From exec to ready: signals that come while the program still loads."""
+"""Signals that arrive between exec and readiness, while the program is loading."""
 
 import json
 import os
@@ -17,8 +17,8 @@
 S = 1_000_000
 
 
-def started(harness, folder, **changes):
-    """The command of the deploy file, as the platform starts it. -> the process, its log's path, its port."""
+def start(harness, folder, **changes):
+    """Runs the command of the deploy file as the platform does. -> the process, the path of its log, its port."""
     (port,) = free_ports(1)
     path = folder / "own.json"
     path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}", **changes}))
@@ -32,26 +32,27 @@
 
 
 def is_python(process):
-    """The shell is not the program that `run` starts; the platform's signals go to the latter."""
+    """Whether the shell has been replaced by the program, to which the platform sends its signals."""
     return b"lapiswing.node" in Path(f"/proc/{process.pid}/cmdline").read_bytes().split(b"\0")
 
 
 def catches(process, number):
-    caught = next(line for line in Path(f"/proc/{process.pid}/status").read_text().splitlines() if line.startswith("SigCgt"))
-    return bool(int(caught.split()[1], 16) >> number - 1 & 1)
+    """Whether the process has a handler for the signal."""
+    mask = next(line for line in Path(f"/proc/{process.pid}/status").read_text().splitlines() if line.startswith("SigCgt"))
+    return bool(int(mask.split()[1], 16) >> number - 1 & 1)
 
 
-def test_a_new_configuration_while_the_program_still_loads_does_not_end_it(tmp_path):
+def test_a_new_configuration_during_loading_does_not_end_the_program(tmp_path):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
-        process, log, port = started(harness, tmp_path)
+        process, log, port = start(harness, tmp_path)
         try:
             harness.until(lambda: is_python(process))
 
-            def listens():
+            def signal_until_listening():
                 process.send_signal(signal.SIGHUP)
                 return process.poll() is not None or "listening" in log.read_text()
 
-            harness.until(listens, 20 * S)
+            harness.until(signal_until_listening, 20 * S)
             assert process.poll() is None, f"ended by {process.returncode}"
             harness.port = port
             assert harness.ask("a0").wait_answer().status == 200
@@ -62,9 +63,9 @@
             process.kill()
 
 
-def test_a_stop_while_the_program_still_loads_ends_it_in_order(tmp_path):
+def test_a_stop_during_loading_ends_the_program_cleanly(tmp_path):
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
-        process, log, _ = started(harness, tmp_path)
+        process, log, _ = start(harness, tmp_path)
         try:
             harness.until(lambda: is_python(process) and catches(process, signal.SIGTERM))
             process.send_signal(signal.SIGTERM)
@@ -76,15 +77,15 @@
 
 
 def test_a_configuration_that_changes_right_after_it_was_read_is_not_missed(tmp_path, monkeypatch):
-    """The signal comes in the very moment between reading the file and hearing signals on the loop."""
+    """The signal arrives after the file was read and before the loop handles signals."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         (port,) = free_ports(1)
         path = tmp_path / "own.json"
         path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9"}))
-        load, nodes = program.Node.__init__, []
+        init, nodes = program.Node.__init__, []
 
-        def loaded(node, *args, **kwargs):
-            load(node, *args, **kwargs)
+        def init_and_change(node, *args, **kwargs):
+            init(node, *args, **kwargs)
             nodes.append(node)
             path.write_text(json.dumps({**harness.config, "listen": f"127.0.0.1:{port}"}))
             os.kill(os.getpid(), signal.SIGHUP)
@@ -94,11 +95,11 @@
             while time.monotonic() < end and node.discovery.address[1] == 9:
                 node.loop.turn(50_000)
 
-        monkeypatch.setattr(program.Node, "__init__", loaded)
+        monkeypatch.setattr(program.Node, "__init__", init_and_change)
         monkeypatch.setattr(program.Node, "run", run)
         monkeypatch.setenv("RELAY_CONFIG", str(path))
         handlers = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)}
-        program.EARLY.install()  # as the program does first of all
+        program.EARLY.install()  # as the program does first
         try:
             program.main()
             assert nodes[0].discovery.address == ("127.0.0.1", int(harness.config["discovery"].split(":")[1]))
