--- a/lapiswing/node/front.py
+++ b/lapiswing/node/front.py
@@ -165,8 +165,8 @@
             return self.exchange.abort()
         self.exchange.respond(status, body)
 
-    def on_rejected(self, come_back_us):
-        more = [(RETRY_AFTER, b"%.3f" % (come_back_us / 1e6))] if come_back_us else []
+    def on_rejected(self, retry_after_us):
+        more = [(RETRY_AFTER, b"%.3f" % (retry_after_us / 1e6))] if retry_after_us else []
         self.exchange.respond(503, b"", b"text/plain", more=more)
 
     def on_failed(self, why):
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -120,10 +120,10 @@
 
 
 def test_an_address_in_use_is_reported_with_the_address(tmp_path):
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
+        port = occupied.getsockname()[1]
         fleet = tmp_path / "f.json"
         fleet.write_text('{"boxes": [{"id": "127.0.0.1:%d", "role": "read"}]}' % port)
         result = CliRunner().invoke(main, ["standin", str(fleet)])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -163,7 +163,7 @@
         rows.rows |= {f"x-{i}": Row(f"x-{i}", 0, 0, 2, 1.0, 0, "draining") for i in range(1022)}
         submit = harness.core.submit
 
-        def take(spec, listener):  # list and request arrive in one turn; the client leaves while the list is applied
+        def submit_with_list(spec, listener):  # list and request arrive in one turn; the client leaves while the list is applied
             req = submit(spec, listener)
             harness.node.on_list_change()
             on_servers = harness.core.router.on_servers
@@ -176,7 +176,7 @@
             harness.core.events.insert(0, harness.core.events.pop())
             return req
 
-        harness.core.submit = take
+        harness.core.submit = submit_with_list
         harness.until(lambda: len(harness.core.router.servers) == 1024)
         harness.loop.run_until(lambda: False, 220 * MS)
         assert not attempts(harness) and listed
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -66,13 +66,13 @@
     """A process that is being replaced may not have released it yet."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         path, port = write_config(tmp_path, harness)
-        taken = socket.create_server(("127.0.0.1", port))
+        occupied = socket.create_server(("127.0.0.1", port))
         log = RecordingLog()
         node = Node(str(path), log, harness.loop)
         node.start()
         harness.loop.run_until(lambda: False, 300 * MS)
         assert "listening" not in [event for event, _ in log.lines]
-        taken.close()
+        occupied.close()
         harness.until(lambda: "listening" in [event for event, _ in log.lines], 2 * S)
         harness.port = port
         assert harness.ask("a1").wait_answer().status == 200
@@ -83,12 +83,12 @@
     monkeypatch.setattr(serve, "LISTEN_TIMEOUT_US", 400 * MS)
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         path, port = write_config(tmp_path, harness)
-        taken = socket.create_server(("127.0.0.1", port))
+        occupied = socket.create_server(("127.0.0.1", port))
         node = Node(str(path), RecordingLog(), Loop(Clock()))
         with pytest.raises(CantListen):
             node.start()
             node.run()
-        taken.close()
+        occupied.close()
         node.close()
 
 
