--- a/lapiswing/membership/merge.py
+++ b/lapiswing/membership/merge.py
@@ -139,7 +139,7 @@
             for name, (since_us, row) in list(state.lost.items()):
                 if suspected:
                     statements.setdefault(name, []).append(
-                        (source, row, row.mode, f"{source} no longer names it, and is doubted")
+                        (source, row, row.mode, f"{source} no longer names it, but is suspected to be wrong")
                     )
                 elif now < since_us + limits.gone_us:
                     statements.setdefault(name, []).append((source, row, "draining", f"{source} no longer names it"))
@@ -165,7 +165,7 @@
             elif draining:
                 mode, why = "draining", draining[0][3] or draining[0][0]
             elif now < self.held_back_until_us.get(name, 0) and stated[0][0] != "list":
-                mode, why = "draining", "it comes and goes"
+                mode, why = "draining", "flapping"
             else:
                 mode, why = "ready", stated[0][3]
             out[name], reasons[name] = row._replace(mode=mode), why
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -61,15 +61,15 @@
             raise OSError(errno.EMFILE, "Too many open files")
 
         real = socket.socket
-        client, kept = harness.client(), harness.ask("a0").wait_answer()
+        client, reused = harness.client(), harness.ask("a0").wait_answer()
         for conn in list(harness.node.pool.all):
             conn.stream.abort()
         monkeypatch.setattr(net.socket, "socket", none)
-        kept.got = b""
-        kept.send(head("a1") + BODY)
-        harness.until(kept.ended)
+        reused.got = b""
+        reused.send(head("a1") + BODY)
+        harness.until(reused.ended)
         monkeypatch.setattr(net.socket, "socket", real)
-        assert kept.status == 503 and b"retry-after" in kept.got.lower()
+        assert reused.status == 503 and b"retry-after" in reused.got.lower()
         router = harness.core.router
         assert not router.unreachable_by_zone and all(m.failure_score < 0.01 and not m.ejected for m in router.servers.values())
         client.send(head("a2") + BODY)
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -79,7 +79,7 @@
     """Room is made at most once a turn; connections beyond the limit are refused, not reset by closing the port."""
     with PlatformHarness(tmp_path, ("both", "both")) as harness:
         harness.node.listener.max_connections = 4
-        kept = [harness.ask(f"a{i}").wait_answer() for i in range(4)]
+        idle = [harness.ask(f"a{i}").wait_answer() for i in range(4)]
         late = [harness.ask(f"b{i}") for i in range(3)]
         harness.node.listener.room_sought_us = harness.loop.now
         harness.node.stop()
@@ -87,7 +87,7 @@
         for client in late:
             client.wait_answer()
         assert [client.status for client in late] == [503] * 3
-        for client in kept:
+        for client in idle:
             client.close()
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -357,16 +357,18 @@
         server, stopped = harness.platform.servers["s-1"], []
         server.pause_us = 250_000
         harness.loop.stop = lambda: stopped.append(harness.loop.clock.now_us())
-        kept = harness.ask("a0").wait_answer()
+        reused = harness.ask("a0").wait_answer()
         client = harness.ask("a1")
         harness.until(lambda: client.status)
         harness.node.stop()
         harness.node.stop()  # a second signal has no effect
         late = harness.ask("a2").wait_answer()
-        kept.got = b""
-        kept.send(head("a3") + BODY)
-        for one in (late, kept.wait_answer()):
-            assert one.status == 503 and b"retry-after: 1.0" in one.got.lower() and b"connection: close" in one.got.lower()
+        reused.got = b""
+        reused.send(head("a3") + BODY)
+        for answer in (late, reused.wait_answer()):
+            assert (
+                answer.status == 503 and b"retry-after: 1.0" in answer.got.lower() and b"connection: close" in answer.got.lower()
+            )
         assert harness.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").wait_answer().status == 503
         assert client.wait_answer().status == 200 and not client.truncated
         harness.until(lambda: stopped)
