--- a/lapiswing/node/release_targets.py
+++ b/lapiswing/node/release_targets.py
@@ -32,6 +32,7 @@
                 del known[name]
 
     def record_answer(self, server, now_us):
+        """The server has answered a call."""
         if server in self.zones:
             self.answered_us[server] = now_us
 
--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -31,7 +31,7 @@
     key: bytes | None = None  # idempotency key, by which servers recognise a repeat
 
     @property
-    def raw(self):  # the core passes this on to `Servers.forward`
+    def raw(self):  # the core passes this on to `Servers.start_attempt`
         return self
 
 
@@ -203,6 +203,7 @@
         self.complete(of_failure(stage))
 
     def complete(self, code):
+        """Ends the call and calls `done`, unless it was cancelled."""
         self.timer.cancel()
         done, self.done, self.exchange = self.done, None, None
         if done:
@@ -221,6 +222,7 @@
         servers.loop.call_later(SETTLE_US, self.send_wave)
 
     def send_wave(self):
+        """Calls some more servers and schedules the next wave."""
         if self.wave == MAX_WAVES or not self.servers.addresses:
             return self.end()
         self.timer = self.servers.loop.call_later(self.servers.release_us // release_targets.WAVES_IN_TIME, self.send_wave)
@@ -283,15 +285,20 @@
         self.release_targets.set_servers(zones)
 
     def record_answer(self, server):
+        """A server has answered."""
         self.release_targets.record_answer(server, self.loop.clock.now_us())
 
     def record_silence(self, server):
+        """A server has failed to answer or can't be connected to."""
         self.release_targets.record_silence(server, self.loop.clock.now_us())
 
     def state_name(self, gateway, rid, number=None):
+        """-> the name under which servers hold a request's state."""
         return rid.encode()
 
     def start_attempt(self, owner, server, stage, raw, params, name, key, fresh, read_us=None, within_us=None, up_us=None):
+        """Sends a request to a server. -> ServerAttempt. `within_us`: time left until the deadline, which is passed on to the
+        server; `up_us`: time for a new connection."""
         attempt = ServerAttempt(self, owner, server, name)
         fields = [(ID, raw.rid), (b"content-type", b"application/json")]
         if raw.key is not None:
@@ -311,9 +318,11 @@
         return attempt
 
     def release(self, server, name):
+        """Releases what is held under a name, presumably by this server."""
         Release(self, server, name)
 
     def hold_place(self, server, name, tokens, done):
+        """Reserves a place on a decode server. Calls `done(held)`: True, False or None if that is unknown."""
         if server not in self.addresses:
             return self.loop.soon(done, False)
 
@@ -324,6 +333,7 @@
         ControlCall(self, server, b"POST", ROOMS_PATH + name, 1000 * MS, on_result)
 
     def probe(self, server, done):
+        """Checks whether a server answers. Calls `done(code, report)`."""
         if server not in self.addresses:
             return self.loop.soon(done, "unreachable", None)
 
