--- a/lapiswing/node/discovery.py
+++ b/lapiswing/node/discovery.py
@@ -125,10 +125,10 @@
 class Discovery:
     """Keeps a ServerList up to date by long polling. At most one call is open at a time."""
 
-    def __init__(self, loop, pool, address, rows, on_list_change, log, subscribe=False, seed=0):
+    def __init__(self, loop, pool, address, server_list, on_list_change, log, subscribe=False, seed=0):
         """`subscribe`: changes are only sent on request and each call is costly; `seed` spreads the calls of many gateways."""
         self.loop, self.pool, self.address = loop, pool, address
-        self.rows, self.on_list_change, self.log = rows, on_list_change, log
+        self.server_list, self.on_list_change, self.log = server_list, on_list_change, log
         self.subscribe, self.seed, self.rejections, self.calls = subscribe, seed, 0, 0
         # Gateways that start together would otherwise all call again at the same moment, when their waits end.
         spread_ms = crc32(b"%d" % seed) % (SUBSCRIBE_WAIT_MS // 4)
@@ -158,10 +158,10 @@
     def send_call(self):
         """Asks for the whole list, or watches for changes after the last index."""
         self.stop()
-        if self.wants_full_list or self.rows.index is None:
+        if self.wants_full_list or self.server_list.index is None:
             target, wait_us = TARGETS_PATH, 0
         else:
-            target = b"%b?after=%d&wait_ms=%d" % (TARGETS_PATH, self.rows.index, self.wait_ms)
+            target = b"%b?after=%d&wait_ms=%d" % (TARGETS_PATH, self.server_list.index, self.wait_ms)
             wait_us = self.wait_ms * MS
         grace_us = SUBSCRIBE_WATCH_GRACE_US if self.subscribe and wait_us else self.grace_us
         self.calls += 1
@@ -191,7 +191,7 @@
             self.wants_full_list = True  # answered without waiting, and includes whatever this call has missed
         if not self.unavailable:
             self.unavailable = True
-            self.log.warning("discovery silent", why=why, boxes=len(self.rows.rows))
+            self.log.warning("discovery silent", why=why, boxes=len(self.server_list.rows))
         self.timer = self.loop.call_later(pause_us, self.send_call)
 
     def answered(self, call, status, body):
@@ -204,16 +204,16 @@
             if status != 200:
                 raise ValueError(f"status {status}")
             targets = LIST_DECODER.decode(body)
-            self.rows.apply(targets, self.loop.clock.now_us())
+            self.server_list.apply(targets, self.loop.clock.now_us())
         except (ValueError, msgspec.MsgspecError) as problem:
             return self.failed(call, f"can't be read: {problem}")
         self.grace_us, self.rejections = self.default_grace_us, 0
         if self.unavailable:
             self.unavailable = False
-            self.log.info("discovery heard", boxes=len(self.rows.rows))
+            self.log.info("discovery heard", boxes=len(self.server_list.rows))
         # An unreadable change may concern any server; the whole list either shows it or no longer names it.
-        self.wants_full_list = bool(self.rows.faults) and not targets.snapshot
-        self.rows.log_faults(self.log)
+        self.wants_full_list = bool(self.server_list.faults) and not targets.snapshot
+        self.server_list.log_faults(self.log)
         if targets.snapshot or targets.endpoints:
             self.on_list_change()
         self.send_call()
--- a/lapiswing/node/serve.py
+++ b/lapiswing/node/serve.py
@@ -113,7 +113,7 @@
         limits, sockets = settings["limits"], min(self.config.limits.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         # As many connections to servers as clients usually have open requests, plus some for releases and idle connections.
         server_connections = sockets * 3 // 8
-        self.clients = sockets - server_connections - RESERVED_DESCRIPTORS
+        self.max_clients = sockets - server_connections - RESERVED_DESCRIPTORS
         idle_us = limits.get("conn_idle_us") or 10_000 * MS
         self.pool = Pool(
             self.loop,
@@ -141,7 +141,7 @@
             Membership(),
             Repeats(1, 1),
             CoreSettings(
-                CoreLimits(margin_us / MS, self.clients, (limits.get("max_retry_after_us") or 0) // MS),
+                CoreLimits(margin_us / MS, self.max_clients, (limits.get("max_retry_after_us") or 0) // MS),
                 [Group() for _ in settings["groups"]],
             ),
             settings,
@@ -167,7 +167,7 @@
                 120_000 * MS,
                 10_000 * MS,
                 HEAD_BYTES + MAX_BODY_BYTES,
-                connections=self.clients,
+                connections=self.max_clients,
                 first_request_us=FIRST_REQUEST_US,
             ),
         )
@@ -214,7 +214,7 @@
         try:
             sock = listen_socket(*address_of(self.config.listen))
             self.listener = Listener(
-                self.loop, sock, self.server.accept, self.clients, high=ANSWER_BUFFER_BYTES, low=ANSWER_BUFFER_BYTES // 4
+                self.loop, sock, self.server.accept, self.max_clients, high=ANSWER_BUFFER_BYTES, low=ANSWER_BUFFER_BYTES // 4
             )
         except OSError as problem:
             if sock is not None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -64,10 +64,10 @@
 
 def test_a_lingering_close_is_bounded_in_time_and_makes_room(tmp_path):
     with PlatformHarness(tmp_path, sockets=128) as harness:
-        silent = [harness.client(head("a1", Content_Length="400000")) for _ in range(harness.node.clients)]
+        silent = [harness.client(head("a1", Content_Length="400000")) for _ in range(harness.node.max_clients)]
         for client in silent:
             harness.until(lambda client=client: client.status == 413)
-        assert len(harness.node.server.connections) == harness.node.clients  # none of the clients closes its side
+        assert len(harness.node.server.connections) == harness.node.max_clients  # none of the clients closes its side
         began = harness.loop.clock.now_us()
         assert harness.ask("b1").wait_answer().status == 200  # lingering connections are closed to make room
         assert harness.loop.clock.now_us() - began < 500 * MS
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -108,7 +108,7 @@
 def test_the_process_limit_applies_where_it_is_below_the_configured_one(tmp_path, monkeypatch):
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 128))
     with PlatformHarness(tmp_path, sockets=4096) as harness:
-        assert harness.node.clients + harness.node.pool.max_total < 128
+        assert harness.node.max_clients + harness.node.pool.max_total < 128
 
 
 def test_room_is_not_made_by_truncating_an_answer_to_a_slow_client(tmp_path, monkeypatch):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -131,13 +131,13 @@
 
     def __init__(self, subscribe=False):
         self.loop = Loop(ManualClock())
-        self.changes, self.rows = [], ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
+        self.changes, self.server_list = [], ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
         self.pool = Scripted(self.loop, [])
-        self.discovery = Discovery(self.loop, self.pool, ("127.0.0.1", 1), self.rows, self.on_list_change, self, subscribe)
-        self.until(lambda: self.rows.rows, S)
+        self.discovery = Discovery(self.loop, self.pool, ("127.0.0.1", 1), self.server_list, self.on_list_change, self, subscribe)
+        self.until(lambda: self.server_list.rows, S)
 
     def on_list_change(self):
-        self.changes.append((self.loop.clock.now_us(), {r.id: r.mode for r in self.rows.rows.values()}))
+        self.changes.append((self.loop.clock.now_us(), {r.id: r.mode for r in self.server_list.rows.values()}))
 
     def info(self, *_, **__):
         pass
@@ -197,7 +197,7 @@
     try:
         Call.play = lambda exchange, what: slow(exchange)
         scenario.discovery.change_address(("127.0.0.1", 2))
-        assert scenario.until(lambda: scenario.rows.rows["s-1"].mode == "draining", 9 * S)
+        assert scenario.until(lambda: scenario.server_list.rows["s-1"].mode == "draining", 9 * S)
     finally:
         Call.play = real
         scenario.discovery.stop()
@@ -209,14 +209,14 @@
     """A restarted discovery may count from the beginning again: a watch after a later index would wait for good."""
     scenario = Scenario()
     scenario.pool.index = 40
-    assert scenario.until(lambda: scenario.rows.index == 40, S)
+    assert scenario.until(lambda: scenario.server_list.index == 40, S)
     scenario.pool.script, scenario.pool.index = ["reset"], 3
     scenario.discovery.change_address(("127.0.0.1", 1))
     scenario.pool.mode = "DRAINING"
-    assert scenario.until(lambda: scenario.rows.rows["s-1"].mode == "draining", S) and scenario.rows.index == 3
+    assert scenario.until(lambda: scenario.server_list.rows["s-1"].mode == "draining", S) and scenario.server_list.index == 3
     scenario.pool.script, scenario.pool.index = [], 2
     scenario.discovery.failed(scenario.discovery.call, "scripted")
-    assert scenario.until(lambda: scenario.rows.index == 2, S)
+    assert scenario.until(lambda: scenario.server_list.index == 2, S)
     scenario.discovery.stop()
     scenario.loop.close()
 
@@ -301,13 +301,13 @@
     loop = Loop(ManualClock())
     discovery, gateways = Overloaded(loop), []
     for seed in range(60):
-        rows = ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
+        server_list = ServerList(["read", "write", "both"], ["a"], ServerStarts(0))
         gateways.append(
-            Discovery(loop, discovery, ("127.0.0.1", 1), rows, lambda: None, RecordingLog(), subscribe=True, seed=seed)
+            Discovery(loop, discovery, ("127.0.0.1", 1), server_list, lambda: None, RecordingLog(), subscribe=True, seed=seed)
         )
 
     def all_are(mode):
-        return all(g.rows.rows and g.rows.rows["s-1"].mode == mode for g in gateways)
+        return all(g.server_list.rows and g.server_list.rows["s-1"].mode == mode for g in gateways)
 
     try:
         assert loop.run_until(lambda: all_are("ready"), 6 * S) and discovery.rejected
@@ -332,7 +332,7 @@
 
 def test_a_rejected_call_is_retried_later_and_asks_only_for_changes():
     scenario = Scenario(subscribe=True)
-    assert scenario.until(lambda: scenario.rows.index == 1, S)
+    assert scenario.until(lambda: scenario.server_list.index == 1, S)
     scenario.pool.script = ["503"] * 6
     scenario.discovery.send_call()
     first = len(scenario.pool.requests) - 1
@@ -353,7 +353,7 @@
     scenario.discovery.send_call()
     opened_us = scenario.loop.clock.now_us()
     scenario.pool.index, scenario.pool.mode = 2, "DRAINING"
-    assert scenario.until(lambda: scenario.rows.rows["s-1"].mode == "draining", 40 * S)
+    assert scenario.until(lambda: scenario.server_list.rows["s-1"].mode == "draining", 40 * S)
     assert scenario.loop.clock.now_us() - opened_us < scenario.discovery.wait_ms * MS + (6 * S if after else S)
     scenario.discovery.stop()
     scenario.loop.close()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -183,7 +183,7 @@
 
 def test_hundreds_of_silent_connections_leave_room_for_normal_clients(tmp_path):
     with PlatformHarness(tmp_path, sockets=128) as harness:
-        limit = harness.node.clients
+        limit = harness.node.max_clients
         silent = [harness.client() for _ in range(limit + 40)]
         harness.until(lambda: harness.node.listener.open >= limit)
         assert all(harness.ask(f"u{i}").wait_answer().status == 200 for i in range(5))
@@ -620,7 +620,7 @@
     peeks, real = [], Stream.pending
     monkeypatch.setattr(Stream, "pending", lambda self: peeks.append(1) or real(self))
     with PlatformHarness(tmp_path, sockets=128) as harness:
-        limit = harness.node.clients
+        limit = harness.node.max_clients
         clients = [harness.client(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n") for _ in range(4 * limit)]
         turns = harness.loop.turns
         harness.until(lambda: all(c.ended() for c in clients))
--- a/tests/test_read_then_closed.py
+++ b/tests/test_read_then_closed.py
@@ -73,7 +73,7 @@
 
 def test_a_partial_request_closed_to_make_room_is_refused_rather_than_dropped(tmp_path):
     with PlatformHarness(tmp_path, ("both",), sockets=128) as harness:
-        partial = [harness.client(head(f"a{i}") + BODY[:40]) for i in range(harness.node.clients)]
+        partial = [harness.client(head(f"a{i}") + BODY[:40]) for i in range(harness.node.max_clients)]
         harness.until(lambda: sum(c.phase == "body" for c in harness.node.server.connections) == len(partial))
         harness.loop.run_until(lambda: False, 600 * MS)
         assert harness.ask("b1").wait_answer().status == 200
