--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -270,7 +270,7 @@
         req = Req(10**6 + i, spec, core.loop.clock.now_us())
         req.attempt_history = ["read 127.0.0.1:1 read 7"]
         core.reqs[req.rid] = req
-    turns, hook = [], desk.place.gateway.tasks.turn
+    turns, hook = [], desk.place.gateway.tasks.run_slices
 
     def timed():
         start = time.perf_counter()
