--- a/lapiswing/admin/client.py
+++ b/lapiswing/admin/client.py
@@ -1,8 +1,8 @@
-"""A small blocking client of the admin socket, for commands that ask once.
+"""A small blocking client of the admin socket, for commands that send a single request.
 
-    ask("/run/gateway.sock", "GET", "/v1/verdict")            -> the answer's JSON
+    ask("/run/gateway.sock", "GET", "/v1/verdict")            -> the JSON value of the response
     ask("127.0.0.1:9200", "POST", "/v1/actions", {...}, key)
-Raises AdminError with a text for people."""
+Raises AdminError with a message for operators."""
 
 import http.client
 import json
@@ -19,7 +19,7 @@
 
 
 class AdminError(OperatorError):
-    """`status` is the answer's, None where there was none that could be read."""
+    """A failed call. `status`: the HTTP status of the response, None if no readable response arrived."""
 
     def __init__(self, where, what, status=None):
         super().__init__(where, what, ADVICE.get(status, ADVICE["refused"]))
@@ -27,6 +27,8 @@
 
 
 class UnixConnection(http.client.HTTPConnection):
+    """An HTTP connection over the Unix socket at `path`."""
+
     def __init__(self, path, timeout):
         super().__init__("localhost", timeout=timeout)
         self.path = path
@@ -37,27 +39,31 @@
         self.sock.connect(self.path)
 
 
-def place_of(where):
-    """'host:port' -> (host, port), anything else is a Unix path."""
-    host, _, port = where.rpartition(":")
-    return (host.strip("[]"), int(port)) if host and port.isdigit() and "/" not in where else where
+def parse_address(address):
+    """'host:port' -> (host, port); anything else is returned unchanged, as the path of a Unix socket."""
+    host, _, port = address.rpartition(":")
+    return (host.strip("[]"), int(port)) if host and port.isdigit() and "/" not in address else address
 
 
-def ask(where, method, path, value=None, key=None, timeout=5.0):
-    place = place_of(where)
-    connection = UnixConnection(place, timeout) if isinstance(place, str) else http.client.HTTPConnection(*place, timeout=timeout)
+def ask(address, method, path, value=None, key=None, timeout=5.0):
+    """Sends one request and returns the decoded JSON response. `value`: the JSON body; `key`: the bearer key;
+    `timeout`: in seconds."""
+    target = parse_address(address)
+    connection = (
+        UnixConnection(target, timeout) if isinstance(target, str) else http.client.HTTPConnection(*target, timeout=timeout)
+    )
     try:
         connection.request(
             method, path, json.dumps(value) if value is not None else None, {"authorization": f"Bearer {key}"} if key else {}
         )
-        answer = connection.getresponse()
-        body = json.loads(answer.read())
-    except (OSError, http.client.HTTPException, ValueError) as problem:
-        raise AdminError(where, getattr(problem, "strerror", None) or str(problem) or type(problem).__name__) from None
+        response = connection.getresponse()
+        body = json.loads(response.read())
+    except (OSError, http.client.HTTPException, ValueError) as error:
+        raise AdminError(address, getattr(error, "strerror", None) or str(error) or type(error).__name__) from None
     finally:
         connection.close()
-    if answer.status != 200:
-        raise AdminError("", body.get("error", f"answered {answer.status}"), answer.status)
+    if response.status != 200:
+        raise AdminError("", body.get("error", f"answered {response.status}"), response.status)
     if body.get("v") != 1:
-        raise AdminError(where, f"speaks version {body.get('v')} of the admin messages; this program speaks 1")
+        raise AdminError(address, f"speaks version {body.get('v')} of the admin messages; this program speaks 1")
     return body
--- a/lapiswing/admin/feed.py
+++ b/lapiswing/admin/feed.py
@@ -1,7 +1,8 @@
-"""Changes with sequence numbers, kept up to a bound. No I/O.
+"""A bounded list of changes with sequence numbers. No I/O.
 
-A reader names the last number that it has seen and gets what came after. What is no longer kept is told as one `lost` line with
-its span; the reader takes a snapshot then, and goes on from the snapshot's number. So a reader that stops costs nothing."""
+A follower names the last sequence number that it has seen and gets the lines after it. Lines that have been dropped are reported
+as one `lost` line with their range; the follower then takes a snapshot and continues from the snapshot's number. So the feed
+buffers nothing for a follower that stops reading."""
 
 from collections import deque
 
@@ -9,35 +10,39 @@
 
 
 class Feed:
-    def __init__(self, most=2000, most_bytes=1 << 20):
-        self.most, self.most_bytes, self.size = most, most_bytes, 0
-        self.lines, self.seq, self.readers = deque(), 0, set()
+    """Lines of JSON, each with its sequence number; the oldest are dropped beyond either limit. Each object in `followers` has
+    a method `wake()`."""
 
-    def put(self, unix_ms, kind, /, **fields):
-        """-> the line's number. Each reader is told that there is something (`wake()`)."""
+    def __init__(self, max_lines=2000, max_bytes=1 << 20):
+        self.max_lines, self.max_bytes, self.size_bytes = max_lines, max_bytes, 0
+        self.lines, self.seq, self.followers = deque(), 0, set()
+
+    def publish(self, unix_ms, kind, /, **fields):
+        """Appends a line, wakes each follower and returns the line's sequence number."""
         self.seq += 1
         line = orjson.dumps({**fields, "seq": self.seq, "unix_ms": unix_ms, "type": kind}) + b"\n"
         self.lines.append((self.seq, line))
-        self.size += len(line)
-        while len(self.lines) > self.most or self.size > self.most_bytes:
-            self.size -= len(self.lines.popleft()[1])
-        for reader in list(self.readers):
-            reader.wake()
+        self.size_bytes += len(line)
+        while len(self.lines) > self.max_lines or self.size_bytes > self.max_bytes:
+            self.size_bytes -= len(self.lines.popleft()[1])
+        for follower in list(self.followers):
+            follower.wake()
         return self.seq
 
-    def after(self, seq, most_bytes=65536):
-        """-> (lines as bytes, the last number in them) of what came after `seq`; (b"", seq) where nothing did."""
+    def lines_after(self, seq, max_bytes=65536):
+        """Returns (lines after `seq` as bytes, the last sequence number in them), or (b"", seq) if there are none. A line that is
+        longer than `max_bytes` is returned alone."""
         if seq > self.seq:
-            seq = 0  # a number of an earlier life
-        first = self.lines[0][0] if self.lines else self.seq + 1
-        out, size = [], 0
-        if seq + 1 < first:
-            out.append(orjson.dumps({"type": "lost", "from": seq + 1, "to": first - 1}) + b"\n")
-            seq = first - 1
-        for number, line in list(self.lines)[max(0, seq + 1 - first) :]:
-            if size and size + len(line) > most_bytes:
+            seq = 0  # a number of a previous process
+        first_seq = self.lines[0][0] if self.lines else self.seq + 1
+        chunks, chunk_bytes = [], 0
+        if seq + 1 < first_seq:
+            chunks.append(orjson.dumps({"type": "lost", "from": seq + 1, "to": first_seq - 1}) + b"\n")
+            seq = first_seq - 1
+        for line_seq, line in list(self.lines)[max(0, seq + 1 - first_seq) :]:
+            if chunk_bytes and chunk_bytes + len(line) > max_bytes:
                 break
-            out.append(line)
-            size += len(line)
-            seq = number
-        return b"".join(out), seq
+            chunks.append(line)
+            chunk_bytes += len(line)
+            seq = line_seq
+        return b"".join(chunks), seq
--- a/lapiswing/console/app.py
+++ b/lapiswing/console/app.py
@@ -10,7 +10,7 @@
 import orjson
 import urwid
 
-from lapiswing.admin.client import place_of
+from lapiswing.admin.client import parse_address
 from lapiswing.console.model import NEEDS, Model
 from lapiswing.console.views import render
 from lapiswing.http1 import Pool
@@ -91,7 +91,7 @@
     """The model's connection to the gateway."""
 
     def __init__(self, loop, where, key, model):
-        self.loop, self.place, self.key, self.model = loop, place_of(where), key, model
+        self.loop, self.place, self.key, self.model = loop, parse_address(where), key, model
         self.pool, self.changed, self.fails, self.feed, self.due = Pool(loop, 8, connect_us=1_000_000), True, 0, None, None
         self.asked = False
         self.start()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,7 +8,7 @@
 import pytest
 from gateway_site import GatewaySite, RawClient, ResponseCollector, chat, post, status
 
-from lapiswing.admin.client import AdminError, ask, place_of
+from lapiswing.admin.client import AdminError, ask, parse_address
 from lapiswing.admin.feed import Feed
 from lapiswing.admin.serve import listen_unix
 from lapiswing.admission.caps import Caps
@@ -207,7 +207,7 @@
 
 def test_the_feed_tells_changes_in_order_and_what_was_missed(desk):
     reader = Reader(desk)
-    desk.loop.run_until(lambda: desk.admin.readers, S)
+    desk.loop.run_until(lambda: desk.admin.follower_count, S)
     desk.act({"act": "drain", "what": desk.place.ids[1]})
     desk.loop.run_until(lambda: any(r["type"] == "action" for r in reader.read()), 5 * S)
     rows = reader.read()
@@ -218,18 +218,18 @@
     assert late.read()[0]["type"] == "gateway"
     reader.sock.close()
     late.sock.close()
-    assert desk.loop.run_until(lambda: desk.admin.readers == 0, 5 * S)
+    assert desk.loop.run_until(lambda: desk.admin.follower_count == 0, 5 * S)
 
 
 def test_a_reader_that_does_not_read_costs_nothing_and_is_told_what_it_lost(desk):
     reader = Reader(desk)
-    desk.loop.run_until(lambda: desk.admin.readers, S)
+    desk.loop.run_until(lambda: desk.admin.follower_count, S)
     for i in range(20_000):
-        desk.admin.changed("mode", text=f"suspect {i} " + "x" * 200)
+        desk.admin.record_change("mode", text=f"suspect {i} " + "x" * 200)
         if i % 500 == 0:
             desk.loop.turn(0)
     feed = desk.admin.feed
-    assert feed.size <= feed.most_bytes and len(feed.lines) <= feed.most
+    assert feed.size_bytes <= feed.max_bytes and len(feed.lines) <= feed.max_lines
     stream = next(c.stream for s in desk.admin.servers for c in s.connections if c.current)
     assert stream.unsent_bytes < 300_000
     assert desk.call() == 200
@@ -241,14 +241,14 @@
 
 
 def test_too_many_readers_are_told_so(desk):
-    desk.admin.readers = 64
+    desk.admin.follower_count = 64
     assert desk.ask("/v1/feed")[0] == 503
-    desk.admin.readers = 0
+    desk.admin.follower_count = 0
 
 
 def test_many_snapshots_at_once_are_one_build(desk):
-    builds, real = [], desk.admin.build
-    desk.admin.build = lambda wanted: (builds.append(wanted), real(wanted))[1]
+    builds, real = [], desk.admin.build_snapshot
+    desk.admin.build_snapshot = lambda wanted: (builds.append(wanted), real(wanted))[1]
     out = []
     for _ in range(20):
         desk.pool.request(desk.look, b"GET", b"/v1/snapshot", [], b"", ResponseCollector(lambda answer: out.append(answer[0])))
@@ -337,22 +337,22 @@
 def test_the_client_says_what_is_wrong(tmp_path):
     with pytest.raises(AdminError, match="No such file"):
         ask(str(tmp_path / "none"), "GET", "/v1/verdict")
-    assert place_of("a:1") == ("a", 1) and place_of("/run/a:1") == "/run/a:1" and place_of("x.sock") == "x.sock"
+    assert parse_address("a:1") == ("a", 1) and parse_address("/run/a:1") == "/run/a:1" and parse_address("x.sock") == "x.sock"
 
 
 # ---- what decides
 
 
 def test_the_feed_is_bounded_and_numbers_never_lie():
-    feed = Feed(most=10, most_bytes=100_000)
+    feed = Feed(max_lines=10, max_bytes=100_000)
     for i in range(25):
-        feed.put(i, "x", n=i)
-    data, seq = feed.after(3)
+        feed.publish(i, "x", n=i)
+    data, seq = feed.lines_after(3)
     rows = [json.loads(line) for line in data.splitlines()]
     assert rows[0] == {"type": "lost", "from": 4, "to": 15} and [r["seq"] for r in rows[1:]] == list(range(16, 26)) and seq == 25
-    assert feed.after(25) == (b"", 25)
-    assert json.loads(feed.after(99)[0].splitlines()[0])["type"] == "lost"  # a number of an earlier life
-    small, at = feed.after(15, most_bytes=1)
+    assert feed.lines_after(25) == (b"", 25)
+    assert json.loads(feed.lines_after(99)[0].splitlines()[0])["type"] == "lost"  # a number of an earlier life
+    small, at = feed.lines_after(15, max_bytes=1)
     assert at == 16 and small.count(b"\n") == 1
 
 
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -69,7 +69,7 @@
             self.taken("app", 3)
             for do in change.values():
                 do(self)
-            for what, found in self.diagnosis.look(copy.deepcopy(self.facts)):
+            for what, found in self.diagnosis.observe(copy.deepcopy(self.facts)):
                 self.news.append((round((self.now - 100 * S) / S), what, found.kind, found.subject))
         return self
 
@@ -159,7 +159,7 @@
     site = Site().second(20)
     site.second(8, **{name: fails(name, "reset") for name in site.boxes})
     assert site.kinds() == [("answers lost", "")]
-    assert "don't drain" in site.diagnosis.findings[0].do
+    assert "don't drain" in site.diagnosis.findings[0].remedy
 
 
 def test_pushbacks_by_reading_by_writing_and_by_memory():
