--- a/lapiswing/console/__init__.py
+++ b/lapiswing/console/__init__.py
@@ -1,6 +1,6 @@
-"""The terminal console: a process of its own, on the admin socket.
+"""The terminal console: a separate process that connects to the admin socket.
 
-text    what may reach a terminal, and how wide it is
-model   what the console knows, and what keys do; pure
-views   model -> lines of styled text; pure
-app     urwid, and the connection"""
+text    makes text safe for a terminal and measures its width
+model   the state of the console and the effect of keys; no I/O
+views   model -> lines of styled text; no I/O
+app     the urwid program and its connection"""
--- a/lapiswing/console/app.py
+++ b/lapiswing/console/app.py
@@ -1,7 +1,7 @@
-"""The console's process: urwid on the terminal, the admin socket on the project's own loop, both in one thread.
+"""The console's process: urwid on the terminal and the admin socket on lapiswing's event loop, both in one thread.
 
-It asks for a snapshot of what its view shows once a second, and follows the feed. A gateway that is gone is tried again with growing
-pauses; what was known stays on the screen, marked as old."""
+Once a second it requests a snapshot of the parts that the current view shows, and it follows the feed. If the connection fails,
+it retries with growing pauses; the last known state stays on the screen, marked as old."""
 
 import signal
 import sys
@@ -11,14 +11,14 @@
 import urwid
 
 from lapiswing.admin.client import parse_address
-from lapiswing.console.model import NEEDS, Model
+from lapiswing.console.model import SNAPSHOT_PARTS, Model
 from lapiswing.console.views import render
 from lapiswing.http1 import Pool
 from lapiswing.loop import Clock, Loop
 
 MS = 1000
-SNAP_US, LATE_US = 1_000_000, 3_000_000
-PAUSES_US = (200_000, 400_000, 800_000, 1_600_000, 3_000_000)
+SNAPSHOT_INTERVAL_US, CALL_TIMEOUT_US = 1_000_000, 3_000_000
+RETRY_PAUSES_US = (200_000, 400_000, 800_000, 1_600_000, 3_000_000)
 PALETTE = [
     ("head", "black", "light gray", "standout"),
     ("bad", "light red,bold", "", "bold,standout"),
@@ -29,43 +29,43 @@
 ]
 
 
-class Feed:
-    """Follows the feed; every line goes to the model."""
+class FeedFollower:
+    """Follows the feed and passes every line to the model."""
 
     def __init__(self, link):
-        self.link, self.raw, self.over, self.ok = link, bytearray(), False, False
-        after = link.model.seq
-        self.exchange = link.ask(b"GET", f"/v1/feed?after={'now' if after is None else after}", self)
+        self.link, self.buffer, self.over, self.accepted = link, bytearray(), False, False
+        after_seq = link.model.seq
+        self.exchange = link.request(b"GET", f"/v1/feed?after={'now' if after_seq is None else after_seq}", self)
 
     def on_head(self, status, fields):
-        self.ok = status == 200
-        if self.ok:
-            self.link.up()
+        self.accepted = status == 200
+        if self.accepted:
+            self.link.on_connected()
 
     def on_body(self, data):
-        self.raw += data
-        *lines, rest = bytes(self.raw).split(b"\n")
-        self.raw = bytearray(rest)
-        for line in lines if self.ok else ():
+        self.buffer += data
+        *lines, rest = bytes(self.buffer).split(b"\n")
+        self.buffer = bytearray(rest)
+        for line in lines if self.accepted else ():
             self.link.model.feed(orjson.loads(line))
         self.link.changed = True
 
     def on_end(self):
-        self.link.down("the gateway ended the feed" if self.ok else "the feed was refused")
+        self.link.on_failure("the gateway ended the feed" if self.accepted else "the feed was refused")
 
     def on_fail(self, stage, why):
-        self.link.down(why)
+        self.link.on_failure(why)
 
 
-class Call:
-    """One answer in JSON; `done(status, value)`, or `done(None, why)`."""
+class JsonCall:
+    """One request with a JSON response. Calls `done(status, value)`, or `done(None, why)` if it failed."""
 
     def __init__(self, link, method, path, value, done):
         self.link, self.done, self.parts, self.status = link, done, [], None
-        self.exchange = link.ask(method, path, self, orjson.dumps(value) if value is not None else b"")
-        self.timer = link.loop.call_later(LATE_US, self.late)
+        self.exchange = link.request(method, path, self, orjson.dumps(value) if value is not None else b"")
+        self.timer = link.loop.call_later(CALL_TIMEOUT_US, self.on_timeout)
 
-    def late(self):
+    def on_timeout(self):
         self.exchange.cancel()
         self.done(None, "no answer in time")
 
@@ -80,7 +80,7 @@
         try:
             self.done(self.status, orjson.loads(b"".join(self.parts)))
         except ValueError:
-            self.done(None, "an answer that is no JSON")
+            self.done(None, "the answer is not JSON")
 
     def on_fail(self, stage, why):
         self.timer.cancel()
@@ -88,69 +88,77 @@
 
 
 class Link:
-    """The model's connection to the gateway."""
+    """The connection to the gateway's admin socket, which keeps the model up to date."""
 
-    def __init__(self, loop, where, key, model):
-        self.loop, self.place, self.key, self.model = loop, parse_address(where), key, model
-        self.pool, self.changed, self.fails, self.feed, self.due = Pool(loop, 8, connect_us=1_000_000), True, 0, None, None
-        self.asked = False
-        self.start()
+    def __init__(self, loop, address, key, model):
+        self.loop, self.address, self.key, self.model = loop, parse_address(address), key, model
+        self.pool, self.changed, self.failures, self.feed, self.timer = Pool(loop, 8, connect_us=1_000_000), True, 0, None, None
+        self.snapshot_pending = False
+        self.poll()
 
-    def ask(self, method, path, handler, body=b""):
+    def request(self, method, path, handler, body=b""):
+        """Starts a request with the key; `handler` gets its events."""
         fields = [(b"authorization", b"Bearer " + self.key.encode())] if self.key else []
-        return self.pool.request(self.place, method, path.encode(), fields, body, handler)
+        return self.pool.request(self.address, method, path.encode(), fields, body, handler)
 
     def now_ms(self):
         return time.time_ns() // 1_000_000
 
-    def start(self):
-        self.due = None
-        self.snapshot()
+    def poll(self):
+        """Runs on the timer: requests the next snapshot."""
+        self.timer = None
+        self.request_snapshot()
 
-    def up(self):
-        self.fails = 0
+    def on_connected(self):
+        """The feed has been opened."""
+        self.failures = 0
         self.model.connected(self.now_ms())
         self.changed = True
 
-    def down(self, why):
+    def on_failure(self, why):
+        """The feed or a snapshot has failed: reports it in the model and schedules a retry."""
         if self.feed is not None:
             self.feed.exchange.cancel()
             self.feed = None
         self.model.lost(self.now_ms(), str(why))
         self.changed = True
-        if self.due is not None:
-            self.due.cancel()
-        self.due = self.loop.call_later(PAUSES_US[min(self.fails, len(PAUSES_US) - 1)], self.start)
-        self.fails += 1
-
-    def snapshot(self):
-        if self.asked:
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.loop.call_later(RETRY_PAUSES_US[min(self.failures, len(RETRY_PAUSES_US) - 1)], self.poll)
+        self.failures += 1
+
+    def request_snapshot(self):
+        """Requests the parts of the current view, unless a request is under way."""
+        if self.snapshot_pending:
             return
-        self.asked = True
-        Call(self, b"GET", f"/v1/snapshot?parts={NEEDS[self.model.view]}", None, self.got)
+        self.snapshot_pending = True
+        JsonCall(self, b"GET", f"/v1/snapshot?parts={SNAPSHOT_PARTS[self.model.view]}", None, self.on_snapshot)
 
-    def got(self, status, value):
-        self.asked = False
+    def on_snapshot(self, status, value):
+        """Passes a snapshot to the model, follows the feed if that is not done yet, and schedules the next snapshot."""
+        self.snapshot_pending = False
         if status != 200:
-            return self.down(value if status is None else value.get("error", f"answered {status}"))
+            return self.on_failure(value if status is None else value.get("error", f"answered {status}"))
         if value.get("v") != 1:
-            return self.down(f"the gateway speaks version {value.get('v')} of the admin messages")
+            return self.on_failure(f"the gateway speaks version {value.get('v')} of the admin messages")
         self.model.snapshot(value, self.now_ms())
         self.changed = True
         if self.feed is None:
-            self.feed = Feed(self)
-        if self.due is not None:
-            self.due.cancel()
-        self.due = self.loop.call_later(SNAP_US, self.start)
-
-    def sooner(self):
-        """Another view wants other parts: now."""
-        if self.model.link == "live" and not self.asked:
-            if self.due is not None:
-                self.due.cancel()
-            self.start()
+            self.feed = FeedFollower(self)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.loop.call_later(SNAPSHOT_INTERVAL_US, self.poll)
+
+    def refresh(self):
+        """Requests a snapshot at once, since another view shows other parts."""
+        if self.model.connection_state == "live" and not self.snapshot_pending:
+            if self.timer is not None:
+                self.timer.cancel()
+            self.poll()
 
     def act(self, value):
+        """Sends an action and shows its result as the model's message."""
+
         def done(status, answer):
             self.model.message = (
                 answer["done"]
@@ -160,11 +168,13 @@
                 else f"Not done: {answer.get('error')}"
             )
             self.changed = True
-            self.sooner()
+            self.refresh()
+
+        JsonCall(self, b"POST", "/v1/actions", value, done)
 
-        Call(self, b"POST", "/v1/actions", value, done)
+    def fetch_req(self, number):
+        """Fetches the details of an open request."""
 
-    def req(self, number):
         def done(status, answer):
             if status == 200:
                 self.model.detail = answer
@@ -172,10 +182,12 @@
                 self.model.message = str(answer if status is None else answer.get("error"))
             self.changed = True
 
-        Call(self, b"GET", f"/v1/reqs/{number}", None, done)
+        JsonCall(self, b"GET", f"/v1/reqs/{number}", None, done)
 
 
 class Screen(urwid.Widget):
+    """The only widget: draws the model and passes keys on."""
+
     _sizing, _selectable = frozenset(["box"]), True
 
     def __init__(self, model, plain, on_key):
@@ -189,7 +201,11 @@
         columns, rows = size
         lines = render(self.model, columns, rows, time.time_ns() // 1_000_000, self.plain)
         canvases = [
-            (urwid.Text([(s or None, t) for s, t in line if t] or "", wrap="clip").render((columns,)), None, False)
+            (
+                urwid.Text([(style or None, text) for style, text in line if text] or "", wrap="clip").render((columns,)),
+                None,
+                False,
+            )
             for line in lines
         ]
         return urwid.CanvasCombine(canvases)
@@ -198,50 +214,52 @@
         self.on_key(key)
 
 
-def run_console(where, key=None, may_act=False, mono=False):
+def run_console(address, key=None, may_act=False, mono=False):
+    """Runs the console until the user quits. `address`: of the admin socket; `may_act`: whether keys that act are offered;
+    `mono`: without colours."""
     loop = Loop(Clock())
-    model = Model(where, may_act)
-    link = Link(loop, where, key, model)
+    model = Model(address, may_act)
+    link = Link(loop, address, key, model)
 
     def on_key(name):
-        view = model.view
-        what = model.key(name)
-        if what is not None and what[0] == "quit":
+        previous_view = model.view
+        command = model.key(name)
+        if command is not None and command[0] == "quit":
             raise urwid.ExitMainLoop()
-        if what is not None and what[0] == "act":
-            link.act(what[1])
-        elif what is not None and what[0] == "req":
-            link.req(what[1])
-        if model.view != view:
-            link.sooner()
+        if command is not None and command[0] == "act":
+            link.act(command[1])
+        elif command is not None and command[0] == "req":
+            link.fetch_req(command[1])
+        if model.view != previous_view:
+            link.refresh()
         screen._invalidate()
 
     plain = mono or not (sys.stdout.encoding or "").lower().startswith("utf")
     screen = Screen(model, plain, on_key)
     terminal = urwid.raw_display.Screen()
     terminal.set_terminal_properties(1 if mono else 16)
-    main = urwid.MainLoop(screen, PALETTE, terminal, event_loop=urwid.SelectEventLoop(), handle_mouse=False)
-    signal.signal(signal.SIGHUP, lambda *_: main.event_loop.alarm(0, stop))
-    signal.signal(signal.SIGTERM, lambda *_: main.event_loop.alarm(0, stop))
+    main_loop = urwid.MainLoop(screen, PALETTE, terminal, event_loop=urwid.SelectEventLoop(), handle_mouse=False)
+    signal.signal(signal.SIGHUP, lambda *_: main_loop.event_loop.alarm(0, stop))
+    signal.signal(signal.SIGTERM, lambda *_: main_loop.event_loop.alarm(0, stop))
 
     def stop():
         raise urwid.ExitMainLoop()
 
-    def turn():
+    def run_turn():
         loop.turn(0)
         if link.changed:
             link.changed = False
             screen._invalidate()
 
     def tick(*_):
-        turn()
-        screen._invalidate()  # ages grow
-        main.set_alarm_in(0.25, tick)
+        run_turn()
+        screen._invalidate()  # the ages that are shown grow
+        main_loop.set_alarm_in(0.25, tick)
 
-    main.watch_file(loop.selector.fileno(), turn)
+    main_loop.watch_file(loop.selector.fileno(), run_turn)
     tick()
     try:
-        main.run()
+        main_loop.run()
     except (KeyboardInterrupt, BrokenPipeError):
         pass
     finally:
--- a/lapiswing/console/text.py
+++ b/lapiswing/console/text.py
@@ -1,7 +1,7 @@
-"""What may reach a terminal, and how wide it is there.
+"""Makes text safe for a terminal and fits it to a width.
 
-Names come from boxes' lists, settings and clients' models: any of them may hold control characters, and an escape sequence on
-the screen of one who has rights is an old attack. Every text goes through `clean`."""
+Names come from server lists, settings and clients' models. Any of them may contain control characters, and an escape sequence in
+the terminal of a privileged operator is a known attack. So every text that is shown goes through `clean`."""
 
 import unicodedata
 
@@ -11,50 +11,58 @@
 ASCII_BLOCKS = " .:-=+*#@"
 
 
-def clean(value, most=400):
-    """A text without anything that moves a cursor, changes direction or takes no place."""
+def clean(value, max_chars=400):
+    """The value as text, with '·' in place of characters that move the cursor, change the direction or have no width."""
     out = []
-    for char in str(value)[:most]:
-        kind = unicodedata.category(char)
-        # Cc, Cf: control and format (escape, bidirectional marks); Cs, Co, Cn: surrogates, private, unassigned; Z: line ends
+    for char in str(value)[:max_chars]:
+        category = unicodedata.category(char)
+        # Cc, Cf: control and format (escape, bidirectional marks); Cs, Co, Cn: surrogates, private use, unassigned;
+        # M: combining marks, which need a character before them; Z: separators, which become spaces
         out.append(
-            char if kind[0] not in "CMZ" or char == " " else " " if kind[0] == "Z" else char if kind[0] == "M" and out else "·"
+            char
+            if category[0] not in "CMZ" or char == " "
+            else " "
+            if category[0] == "Z"
+            else char
+            if category[0] == "M" and out
+            else "·"
         )
     return "".join(out)
 
 
 def width(text):
+    """The number of terminal columns that a text takes."""
     return urwid.calc_width(text, 0, len(text))
 
 
 def fit(text, columns, right=False):
-    """Exactly `columns` wide: cut with '…', or padded."""
+    """The text at a width of exactly `columns`: cut with '…', or padded with spaces, on the left if `right`."""
     if columns <= 0:
         return ""
-    have = width(text)
-    if have > columns:
+    text_width = width(text)
+    if text_width > columns:
         used, out = 0, []
         for char in text:
-            w = width(char)
-            if used + w > columns - 1:
+            char_width = width(char)
+            if used + char_width > columns - 1:
                 break
             out.append(char)
-            used += w
-        text, have = "".join(out) + "…", used + 1
-    pad = " " * (columns - have)
+            used += char_width
+        text, text_width = "".join(out) + "…", used + 1
+    pad = " " * (columns - text_width)
     return pad + text if right else text + pad
 
 
 def spark(values, columns, plain=False):
-    """The last values as bars."""
+    """The last values as a line of bars, scaled to the largest."""
     blocks = ASCII_BLOCKS if plain else BLOCKS
-    values = [v or 0 for v in values[-columns:]]
-    most = max(values, default=0) or 1
-    return "".join(blocks[min(8, round(8 * v / most)) if v else 0] for v in values)
+    values = [value or 0 for value in values[-columns:]]
+    largest = max(values, default=0) or 1
+    return "".join(blocks[min(8, round(8 * value / largest)) if value else 0] for value in values)
 
 
 def age(ms):
-    """A time span for people: 180 ms, 4.2 s, 3:07, 2 h 05."""
+    """A time span as readable text: 180 ms, 4.2 s, 3:07, 2 h 05; "-" for None."""
     if ms is None:
         return "-"
     if ms < 1000:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -147,16 +147,16 @@
 @pytest.mark.parametrize("view", VIEWS)
 def test_each_view_fits_each_size(size, view):
     model = live(box=WIDE * 8)
-    model.go(view)
+    model.show_view(view)
     shown(model, *size)
-    model.help = True
+    model.show_help = True
     shown(model, *size)
 
 
 @pytest.mark.parametrize("view", VIEWS)
 def test_nothing_that_moves_a_cursor_reaches_the_screen(view):
     model = live(box=NASTY)
-    model.go(view)
+    model.show_view(view)
     model.lost(0, NASTY)
     for text in (shown(model), shown(live(box=NASTY), 200, 50)):
         assert not re.search(r"[\x00-\x09\x0b-\x1f\x7f-\x9f\u202a-\u202e\u2066-\u2069]", text)
@@ -212,7 +212,7 @@
     assert model.key("enter") == ("req", 7)
     model.key("s")
     model.key("G")
-    assert model.at == 1
+    assert model.selected == 1
     assert model.key("q") == ("quit",)
 
 
@@ -237,7 +237,7 @@
     assert model.key("enter") == ("act", {"act": "cap", "what": "kiosk", "rps": 2.5})
     model.key("c")
     model.key("x")
-    assert model.key("enter") is None and "no number" in model.message
+    assert model.key("enter") is None and "is not a number" in model.message
     assert model.key("u") == ("act", {"act": "uncap", "what": "kiosk"})
     assert model.key("a") == ("act", {"act": "acknowledge", "what": "10.0.0.1:1", "kind": "no box"})
 
@@ -248,9 +248,9 @@
     other = snapshot()
     other["gateway"] = {**other["gateway"], "pid": 2}
     model.snapshot(other, 2)
-    assert "started again" in model.message and not model.ticks and model.lives == 1
+    assert "started again" in model.message and not model.ticks and model.restarts == 1
     model.feed({"type": "lost", "from": 1, "to": 7})
-    assert model.missed == 7
+    assert model.missed_changes == 7
 
 
 # ---- in a terminal
