--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -1,4 +1,4 @@
-"""Findings from traces of symptoms: counters as a gateway has them, second by second."""
+"""Findings from simulated symptoms: the counters of a gateway, second by second."""
 
 import copy
 
@@ -10,12 +10,12 @@
 
 
 class Site:
-    """A quiet site whose counters go on; a test changes what its trouble changes."""
+    """A healthy site whose counters grow each second. A test changes the counters that its fault affects."""
 
     def __init__(self, readers=2, writers=3, tenants=("kiosk", "app")):
-        self.diagnosis, self.now, self.news = Diagnosis(), 100 * S, []
+        self.diagnosis, self.now, self.changes = Diagnosis(), 100 * S, []
         names = [(f"r{i}", "read") for i in range(readers)] + [(f"w{i}", "write") for i in range(writers)]
-        self.boxes = {
+        self.servers = {
             n: {
                 "role": role,
                 "mode": "ready",
@@ -32,7 +32,7 @@
             for n, role in names
         }
         self.facts = {
-            "boxes": self.boxes,
+            "boxes": self.servers,
             "counts": {"taken": 0, "pushed back": 0, "faults": 0, "backstop": 0, "capped": 0},
             "tenants": {t: {"taken": 0, "capped": 0} for t in tenants},
             "open": 3,
@@ -57,222 +57,229 @@
             "records": [],
         }
 
-    def second(self, n=1, **change):
-        """`change`: what happens in each of these seconds, as functions of the site."""
+    def run_seconds(self, n=1, **faults):
+        """Simulates `n` seconds. `faults`: functions of the site that are called in each of them."""
         for _ in range(n):
             self.now += S
             self.facts["now_us"] = self.now
-            for box in self.boxes.values():
-                if box["mode"] == "ready" and not box["suspect"]:
-                    self.count(box, "read" if box["role"] == "read" else "done", 2)
-            self.taken("kiosk", 3)
-            self.taken("app", 3)
-            for do in change.values():
-                do(self)
-            for what, found in self.diagnosis.observe(copy.deepcopy(self.facts)):
-                self.news.append((round((self.now - 100 * S) / S), what, found.kind, found.subject))
+            for server in self.servers.values():
+                if server["mode"] == "ready" and not server["suspect"]:
+                    self.count_outcome(server, "read" if server["role"] == "read" else "done", 2)
+            self.count_accepted("kiosk", 3)
+            self.count_accepted("app", 3)
+            for fault in faults.values():
+                fault(self)
+            for what, finding in self.diagnosis.observe(copy.deepcopy(self.facts)):
+                self.changes.append((round((self.now - 100 * S) / S), what, finding.kind, finding.subject))
         return self
 
-    def count(self, box, code, n):
-        box = self.boxes[box] if isinstance(box, str) else box
-        box["codes"][code] = box["codes"].get(code, 0) + n
+    def count_outcome(self, server, code, n):
+        """`server`: its name or its row."""
+        server = self.servers[server] if isinstance(server, str) else server
+        server["codes"][code] = server["codes"].get(code, 0) + n
 
-    def taken(self, tenant, n):
+    def count_accepted(self, tenant, n):
         self.facts["counts"]["taken"] += n
         self.facts["tenants"][tenant]["taken"] += n
 
-    def pushed(self, n):
+    def count_rejected(self, n):
         self.facts["counts"]["pushed back"] += n
 
-    def kinds(self):
+    def open_kinds(self):
         return [(f.kind, f.subject) for f in self.diagnosis.findings]
 
-    def says(self):
+    def verdict(self):
         return verdict(self.diagnosis.findings, self.facts)
 
 
 def fails(name, code, n=1):
-    def do(site):
-        site.boxes[name]["codes"].update(
-            {c: v - 2 for c, v in site.boxes[name]["codes"].items() if c in ("done", "read") and not site.boxes[name]["suspect"]}
+    """A fault: a server ends `n` attempts a second with `code`, and none successfully unless it is ejected."""
+
+    def replace_successes(site):
+        site.servers[name]["codes"].update(
+            {
+                success: count - 2
+                for success, count in site.servers[name]["codes"].items()
+                if success in ("done", "read") and not site.servers[name]["suspect"]
+            }
         )
-        site.count(name, code, n)
+        site.count_outcome(name, code, n)
 
-    return do
+    return replace_successes
 
 
-def test_a_quiet_site_has_no_findings():
-    site = Site().second(120)
-    assert not site.news and site.says() == (0, "All well; first tokens after 0.04 s (slow ones 0.09 s).")
+def test_healthy_site_has_no_findings():
+    site = Site().run_seconds(120)
+    assert not site.changes and site.verdict() == (0, "All well; first tokens after 0.04 s (slow ones 0.09 s).")
 
 
-def test_luck_is_no_finding():
-    """One lost answer, one slow turn, a pushback: each happens on a good day."""
-    site = Site().second(20)
-    site.count("w0", "reset", 1)
-    site.pushed(1)
+def test_single_failures_are_no_finding():
+    """One lost answer, one slow turn of the loop or one rejection also happens on a healthy site."""
+    site = Site().run_seconds(20)
+    site.count_outcome("w0", "reset", 1)
+    site.count_rejected(1)
     site.facts["lag_us"] = 200_000
-    site.second()
+    site.run_seconds()
     site.facts["lag_us"] = 1000
-    site.second(30)
-    assert not site.news
+    site.run_seconds(30)
+    assert not site.changes
 
 
 @pytest.mark.parametrize(
     "code,kind", [("unreachable", "unreachable"), ("error", "fails fast"), ("reset", "fails fast"), ("timed_out", "silent")]
 )
-def test_a_box_that_fails_is_found_and_its_end_too(code, kind):
-    site = Site().second(20).second(8, bad=fails("w1", code))
-    assert site.kinds() == [(kind, "w1")] and site.says()[0] == 2 and "w1" in site.says()[1]
-    begun = site.news[0][0]
-    assert begun - 20 <= 5
-    site.second(40)
-    assert site.kinds() == [] and site.news[-1][1:] == ("over", kind, "w1")
-
-
-def test_a_suspect_that_gets_nothing_any_more_keeps_its_finding():
-    site = Site().second(20).second(4, bad=fails("w1", "error"))
-    site.boxes["w1"]["suspect"] = True
-    site.second(60)
-    assert site.kinds() == [("fails fast", "w1")] and len(site.news) == 1
+def test_failing_server_is_found_and_its_recovery_ends_the_finding(code, kind):
+    site = Site().run_seconds(20).run_seconds(8, failing=fails("w1", code))
+    assert site.open_kinds() == [(kind, "w1")] and site.verdict()[0] == 2 and "w1" in site.verdict()[1]
+    begun_s = site.changes[0][0]
+    assert begun_s - 20 <= 5
+    site.run_seconds(40)
+    assert site.open_kinds() == [] and site.changes[-1][1:] == ("over", kind, "w1")
+
+
+def test_ejected_server_without_attempts_keeps_its_finding():
+    site = Site().run_seconds(20).run_seconds(4, failing=fails("w1", "error"))
+    site.servers["w1"]["suspect"] = True
+    site.run_seconds(60)
+    assert site.open_kinds() == [("fails fast", "w1")] and len(site.changes) == 1
     assert site.diagnosis.findings[0].since_us < site.now - 55 * S
 
 
-def test_the_only_writer_drains():
-    site = Site(writers=1).second(5)
-    site.boxes["w0"].update(mode="draining", why="operator")
-    site.second()
-    assert site.kinds() == [("no box", "writer")]
-    assert site.says()[0] == 3 and "1 of 1 writers drains" in site.says()[1]
+def test_only_writer_drains():
+    site = Site(writers=1).run_seconds(5)
+    site.servers["w0"].update(mode="draining", why="operator")
+    site.run_seconds()
+    assert site.open_kinds() == [("no box", "writer")]
+    assert site.verdict()[0] == 3 and "1 of 1 writers drains" in site.verdict()[1]
     assert "operator" in site.diagnosis.findings[0].evidence
 
 
-def test_the_last_of_three_writers():
-    site = Site().second(5)
+def test_one_of_three_writers_left():
+    site = Site().run_seconds(5)
     for name in ("w0", "w1"):
-        site.boxes[name].update(mode="draining", why="list")
-    site.second(3)
-    assert site.kinds() == [("last box", "writer")]
+        site.servers[name].update(mode="draining", why="list")
+    site.run_seconds(3)
+    assert site.open_kinds() == [("last box", "writer")]
 
 
-def test_all_writers_look_bad_is_the_networks_trouble_not_theirs():
-    site = Site().second(20)
-    site.second(8, **{name: fails(name, "reset") for name in site.boxes})
-    assert site.kinds() == [("answers lost", "")]
+def test_failures_of_all_servers_are_reported_as_one_network_problem():
+    site = Site().run_seconds(20)
+    site.run_seconds(8, **{name: fails(name, "reset") for name in site.servers})
+    assert site.open_kinds() == [("answers lost", "")]
     assert "don't drain" in site.diagnosis.findings[0].remedy
 
 
-def test_pushbacks_by_reading_by_writing_and_by_memory():
-    def shed(site):
-        site.pushed(3)
+def test_cause_of_load_shedding_is_reading_writing_or_memory():
+    def shed_load(site):
+        site.count_rejected(3)
 
-    site = Site().second(5)
+    site = Site().run_seconds(5)
     site.facts["read_wait_us"] = 900_000
-    assert site.second(5, shed=shed).kinds() == [("readers full", "")]
-    site = Site().second(5)
+    assert site.run_seconds(5, shed_load=shed_load).open_kinds() == [("readers full", "")]
+    site = Site().run_seconds(5)
     site.facts["write_wait_us"] = 900_000
-    assert site.second(5, shed=shed).kinds() == [("writers full", "")]
-    for name in ("r0", "r1"):  # slow reads that are in truth states without writers
-        site.boxes[name]["memory"] = 0.97
+    assert site.run_seconds(5, shed_load=shed_load).open_kinds() == [("writers full", "")]
+    for name in ("r0", "r1"):  # reads look slow because states wait for writers
+        site.servers[name]["memory"] = 0.97
     site.facts["read_wait_us"] = 2_000_000
-    site.second(12, shed=shed)
-    assert site.kinds() == [("reader memory", "")]
+    site.run_seconds(12, shed_load=shed_load)
+    assert site.open_kinds() == [("reader memory", "")]
 
 
-def test_pushbacks_while_no_writer_is_left_are_no_load():
-    site = Site(writers=1).second(5)
-    site.boxes["w0"]["mode"] = "draining"
-    site.second(6, shed=lambda s: s.pushed(6))
-    assert site.kinds() == [("no box", "writer")]
+def test_rejections_without_a_writer_are_not_overload():
+    site = Site(writers=1).run_seconds(5)
+    site.servers["w0"]["mode"] = "draining"
+    site.run_seconds(6, shed_load=lambda site: site.count_rejected(6))
+    assert site.open_kinds() == [("no box", "writer")]
 
 
-def test_two_causes_at_once_are_both_told_the_worse_first():
-    site = Site().second(20)
+def test_independent_causes_are_all_reported_most_severe_first():
+    site = Site().run_seconds(20)
     site.facts["list_fault"] = "boxes.txtpb:3: box: no such field"
-    site.boxes["r0"].update(mode="draining", why="list")
-    site.boxes["r1"].update(mode="draining", why="list")
-    site.second(6, bad=fails("w2", "error"))
-    assert site.kinds() == [("no box", "reader"), ("list stale", ""), ("fails fast", "w2")]
+    site.servers["r0"].update(mode="draining", why="list")
+    site.servers["r1"].update(mode="draining", why="list")
+    site.run_seconds(6, failing=fails("w2", "error"))
+    assert site.open_kinds() == [("no box", "reader"), ("list stale", ""), ("fails fast", "w2")]
 
 
-def test_a_tenant_that_takes_all_while_others_are_pushed_back():
-    site = Site().second(5)
-    site.second(12, much=lambda s: (s.taken("app", 40), s.pushed(5)))
-    assert ("tenant", "app") in site.kinds()
-    calm = Site().second(5).second(12, much=lambda s: s.taken("app", 40))
-    assert calm.kinds() == []  # it may, as long as nobody is turned away
+def test_dominant_tenant_is_reported_only_during_rejections():
+    site = Site().run_seconds(5)
+    site.run_seconds(12, burst=lambda site: (site.count_accepted("app", 40), site.count_rejected(5)))
+    assert ("tenant", "app") in site.open_kinds()
+    without_rejections = Site().run_seconds(5).run_seconds(12, burst=lambda site: site.count_accepted("app", 40))
+    assert without_rejections.open_kinds() == []  # a tenant may send most of the load while no request is rejected
 
 
-def test_holds_near_their_limit():
-    site = Site().second(3)
+def test_long_holds_are_reported():
+    site = Site().run_seconds(3)
     site.facts.update(holds=4, oldest_hold_us=300_000)
-    site.second(2)
-    assert site.kinds() == [("holds", "")] and "300 ms of 500; 4 held" in site.diagnosis.findings[0].evidence
+    site.run_seconds(2)
+    assert site.open_kinds() == [("holds", "")] and "300 ms of 500; 4 held" in site.diagnosis.findings[0].evidence
 
 
-def test_a_box_that_starts_again_and_again():
-    site = Site().second(5)
+def test_repeated_restarts_of_a_server():
+    site = Site().run_seconds(5)
     for _ in range(3):
-        site.boxes["w0"]["starts"] += 1
-        site.second(15)
-    assert ("restarts", "w0") in site.kinds()
-    site.second(400)
-    assert site.kinds() == []
+        site.servers["w0"]["starts"] += 1
+        site.run_seconds(15)
+    assert ("restarts", "w0") in site.open_kinds()
+    site.run_seconds(400)
+    assert site.open_kinds() == []
 
 
-def test_the_clock_the_disk_the_loop_and_the_gateway_itself():
-    site = Site().second(3)
+def test_problems_of_the_gateway_and_its_machine():
+    site = Site().run_seconds(3)
     site.facts["wall_us"] += 5 * S
-    assert site.second().kinds() == [("clock", "")]
-    site = Site().second(3)
+    assert site.run_seconds().open_kinds() == [("clock", "")]
+    site = Site().run_seconds(3)
     site.facts["disks"]["/"] = 0.004
-    assert site.second(2).kinds() == [("disk", "/")] and site.says()[0] == 3
-    site = Site().second(3)
+    assert site.run_seconds(2).open_kinds() == [("disk", "/")] and site.verdict()[0] == 3
+    site = Site().run_seconds(3)
     site.facts["store"] = ("full", "No space left on device")
-    assert site.second(2).kinds() == [("store", "")]
-    site = Site().second(3)
+    assert site.run_seconds(2).open_kinds() == [("store", "")]
+    site = Site().run_seconds(3)
     site.facts.update(doubts=["dns-sd a."], records=[("dns-sd a.", "stale", "no server answers"), ("srv b.", "good", None)])
-    assert site.second(2).kinds() == [("records doubted", "dns-sd a."), ("records silent", "dns-sd a.")]
-    site = Site().second(3)
+    assert site.run_seconds(2).open_kinds() == [("records doubted", "dns-sd a."), ("records silent", "dns-sd a.")]
+    site = Site().run_seconds(3)
     site.facts["lag_us"] = 80_000
-    assert site.second(8).kinds() == [("overloaded", "")]
-    site = Site().second(3)
+    assert site.run_seconds(8).open_kinds() == [("overloaded", "")]
+    site = Site().run_seconds(3)
     site.facts["counts"]["backstop"] += 1
-    assert site.second().kinds() == [("fault", "")]
-    site = Site().second(3)
+    assert site.run_seconds().open_kinds() == [("fault", "")]
+    site = Site().run_seconds(3)
     site.facts.update(starts_unix_ms=[9_700_000, 9_800_000, 9_900_000, 9_990_000], last_end="killed by signal 9")
-    assert site.second().kinds() == [("gateway restarts", "")] and site.says()[0] == 2
+    assert site.run_seconds().open_kinds() == [("gateway restarts", "")] and site.verdict()[0] == 2
 
 
-def test_slow_against_its_like_only():
-    site = Site(writers=4).second(12)
-    site.boxes["w3"]["first_us"] = 400_000
-    site.second(3)
-    assert site.kinds() == [("slow", "w3")] and site.says()[0] == 1
-    site = Site(writers=4).second(12)
+def test_slowness_is_relative_to_servers_of_the_same_role():
+    site = Site(writers=4).run_seconds(12)
+    site.servers["w3"]["first_us"] = 400_000
+    site.run_seconds(3)
+    assert site.open_kinds() == [("slow", "w3")] and site.verdict()[0] == 1
+    site = Site(writers=4).run_seconds(12)
     for name in ("w0", "w1", "w2", "w3"):
-        site.boxes[name]["first_us"] = 400_000
-    assert site.second(5).kinds() == []
+        site.servers[name]["first_us"] = 400_000
+    assert site.run_seconds(5).open_kinds() == []
 
 
-def test_cold_boxes_are_a_notice():
-    site = Site().second(3)
+def test_recently_started_servers_are_a_notice():
+    site = Site().run_seconds(3)
     for name in ("w0", "w1"):
-        site.boxes[name]["cold"] = True
-    assert site.second().kinds() == [("cold", "writer")] and site.says()[1].startswith("Well, with a notice")
+        site.servers[name]["cold"] = True
+    assert site.run_seconds().open_kinds() == [("cold", "writer")] and site.verdict()[1].startswith("Well, with a notice")
 
 
-def test_acknowledged_findings_stand_behind_until_they_are_over():
-    site = Site().second(3)
+def test_acknowledged_findings_rank_last_until_they_are_over():
+    site = Site().run_seconds(3)
     site.facts["list_fault"] = "x"
-    site.second(2)
-    site.boxes["w0"].update(mode="draining", why="box")
-    site.boxes["w1"].update(mode="draining", why="box")
-    site.second(2)
+    site.run_seconds(2)
+    site.servers["w0"].update(mode="draining", why="box")
+    site.servers["w1"].update(mode="draining", why="box")
+    site.run_seconds(2)
     assert not site.diagnosis.acknowledge("list stale", "other") and site.diagnosis.acknowledge("list stale", "")
-    assert site.kinds() == [("last box", "writer"), ("list stale", "")]
+    assert site.open_kinds() == [("last box", "writer"), ("list stale", "")]
     site.facts["list_fault"] = None
-    site.second(6)
+    site.run_seconds(6)
     site.facts["list_fault"] = "y"
-    site.second(2)
+    site.run_seconds(2)
     assert not site.diagnosis.acknowledged
