--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: its views as pure text, and the program in a real pseudo-terminal."""
+"""The console: its views as text, and the program in a pseudo-terminal."""
 
 import fcntl
 import json
@@ -26,12 +26,13 @@
 from lapiswing.loop import free_ports
 from lapiswing.standin.demo import write_demo
 
-NASTY = "w\x1b[2J\x1b]0;owned\x07\u202e\r\n\x9b31m"
-WIDE = "日本語の箱"
+UNSAFE_NAME = "w\x1b[2J\x1b]0;owned\x07\u202e\r\n\x9b31m"
+WIDE_NAME = "日本語の箱"
 
 
-def snapshot(box="10.0.0.1:1", **more):
-    now = 1_700_000_000_000
+def snapshot(server="10.0.0.1:1", **parts):
+    """A snapshot of the admin socket in which `server` has a finding. `parts` replace its own."""
+    now_ms = 1_700_000_000_000
     row = {
         "role": "write",
         "mode": "ready",
@@ -60,7 +61,7 @@
         "group": "g",
         "tenant": "kiosk",
         "stage": "held",
-        "box": box,
+        "box": server,
         "age_ms": 1200,
         "left_ms": 400,
         "held_ms": 300,
@@ -74,23 +75,23 @@
     return {
         "v": 1,
         "seq": 5,
-        "unix_ms": now,
+        "unix_ms": now_ms,
         "gateway": {"name": "site", "index": 0, "version": "0", "pid": 1, "up_ms": 65_000, "port": 1, "draining": False},
-        "verdict": {"level": 3, "text": f"{box} drains; things are bad."},
+        "verdict": {"level": 3, "text": f"{server} drains; things are bad."},
         "findings": [
             {
                 "kind": "no box",
-                "subject": box,
+                "subject": server,
                 "level": 3,
-                "since_unix_ms": now - 4200,
+                "since_unix_ms": now_ms - 4200,
                 "cause": "the only writer drains",
-                "evidence": f"{box} drains (operator)",
+                "evidence": f"{server} drains (operator)",
                 "do": "take it back",
                 "page": "no-box",
                 "acknowledged": False,
             }
         ],
-        "boxes": [{"box": box, **row, "writes": 1.0}, {"box": "10.0.0.2:1", **row, "suspect": True}],
+        "boxes": [{"box": server, **row, "writes": 1.0}, {"box": "10.0.0.2:1", **row, "suspect": True}],
         "counts": {"taken": 20, "done": 11, "pushed back": 3, "aborted": 1, "left": 0, "not taken": 0, "resumed": 0},
         "now": {
             "open": 4,
@@ -122,13 +123,14 @@
         "sessions": {"open": 2, "connected": 1, "away": 1, "bytes": 0},
         "store": {"mode": "full", "why": "No space left", "keys": 7, "bytes": 3 << 20},
         "tasks": {"running": [{"name": "compaction"}]},
-        "records": {"sources": [{"source": f"dns-sd {box}", "state": "stale", "boxes": 3, "problem": None}]},
-        "modes": [{"unix_ms": now - 9000, "type": "box", "box": box, "mode": "draining", "why": "operator"}],
+        "records": {"sources": [{"source": f"dns-sd {server}", "state": "stale", "boxes": 3, "problem": None}]},
+        "modes": [{"unix_ms": now_ms - 9000, "type": "box", "box": server, "mode": "draining", "why": "operator"}],
         "reqs": [req, {**req, "req": 8, "held_ms": None, "stage": "stream", "left_ms": None}],
-    } | more
+    } | parts
 
 
 def shown(model, columns=80, rows=24):
+    """The rendered screen as text; checks that it has exactly the size."""
     lines = render(model, columns, rows, 1_700_000_000_500)
     assert len(lines) == rows
     for line in lines:
@@ -136,17 +138,18 @@
     return "\n".join("".join(text for _, text in line) for line in lines)
 
 
-def live(**more):
+def live_model(**options):
+    """A connected model that has a snapshot; `options`: of `snapshot`."""
     model = Model("here")
     model.connected(0)
-    model.snapshot(snapshot(**more), 1_700_000_000_000)
+    model.snapshot(snapshot(**options), 1_700_000_000_000)
     return model
 
 
 @pytest.mark.parametrize("size", [(80, 24), (20, 5), (200, 60), (10, 2), (1, 1), (120, 30)])
 @pytest.mark.parametrize("view", VIEWS)
 def test_each_view_fits_each_size(size, view):
-    model = live(box=WIDE * 8)
+    model = live_model(server=WIDE_NAME * 8)
     model.show_view(view)
     shown(model, *size)
     model.show_help = True
@@ -154,23 +157,28 @@
 
 
 @pytest.mark.parametrize("view", VIEWS)
-def test_nothing_that_moves_a_cursor_reaches_the_screen(view):
-    model = live(box=NASTY)
+def test_no_control_characters_reach_the_screen(view):
+    model = live_model(server=UNSAFE_NAME)
     model.show_view(view)
-    model.lost(0, NASTY)
-    for text in (shown(model), shown(live(box=NASTY), 200, 50)):
+    model.lost(0, UNSAFE_NAME)
+    for text in (shown(model), shown(live_model(server=UNSAFE_NAME), 200, 50)):
         assert not re.search(r"[\x00-\x09\x0b-\x1f\x7f-\x9f\u202a-\u202e\u2066-\u2069]", text)
 
 
-def test_clean_and_fit():
+def test_clean_fit_age_and_spark():
     assert clean("a\x1b[31mb") == "a·[31mb" and clean("\u202eabc") == "·abc" and clean("x" * 999, 10) == "x" * 10
-    assert clean(WIDE) == WIDE and width(fit(WIDE, 5)) == 5 and fit(WIDE, 5) == "日本…" and fit("a", 3, True) == "  a"
+    assert (
+        clean(WIDE_NAME) == WIDE_NAME
+        and width(fit(WIDE_NAME, 5)) == 5
+        and fit(WIDE_NAME, 5) == "日本…"
+        and fit("a", 3, True) == "  a"
+    )
     assert [age(v) for v in (0, 999, 4200, 187_000, 7_500_000, None)] == ["0 ms", "999 ms", "4.2 s", "3:07", "2 h 05", "-"]
     assert spark([0, 1, 4], 3) == " ▂█" and spark([0, 8], 9, True) == " @" and spark([], 5) == ""
 
 
-def test_the_overview_tells_the_finding_and_the_numbers():
-    text = shown(live())
+def test_overview_shows_findings_and_counters():
+    text = shown(live_model())
     for part in (
         "SERIOUS",
         "the only writer drains, for 4.2 s",
@@ -185,14 +193,14 @@
     assert "NO CONNECTION" not in text
 
 
-def test_a_lost_connection_is_told_and_what_is_shown_is_marked_as_old():
-    model = live()
+def test_lost_connection_is_shown_with_the_age_of_the_snapshot():
+    model = live_model()
     model.lost(1_700_000_000_100, "refused")
     assert "NO CONNECTION" in shown(model) and "refused" in shown(model) and "ago" in shown(model)
 
 
-def test_search_sort_pick_and_pause():
-    model = live()
+def test_search_sort_select_and_pause():
+    model = live_model()
     model.key("2")
     assert [r["box"] for r in model.listed()] == ["10.0.0.1:1", "10.0.0.2:1"]
     model.key("r")
@@ -216,8 +224,8 @@
     assert model.key("q") == ("quit",)
 
 
-def test_acts_want_the_right_and_a_yes():
-    model = live()
+def test_actions_need_control_access_and_confirmation():
+    model = live_model()
     model.key("2")
     assert model.key("d") is None and "look only" in model.message
     model.may_act = True
@@ -242,8 +250,8 @@
     assert model.key("a") == ("act", {"act": "acknowledge", "what": "10.0.0.1:1", "kind": "no box"})
 
 
-def test_another_life_of_the_gateway_is_told():
-    model = live()
+def test_restart_of_the_gateway_is_shown():
+    model = live_model()
     model.feed({"seq": 6, "unix_ms": 1, "type": "tick", "counts": {"taken": 1}})
     other = snapshot()
     other["gateway"] = {**other["gateway"], "pid": 2}
@@ -257,13 +265,15 @@
 
 
 class Terminal:
+    """A command in a pseudo-terminal, with an emulated screen."""
+
     def __init__(self, args, columns=80, rows=24):
         self.pid, self.fd = pty.fork()
         if self.pid == 0:
             os.environ.update(TERM="xterm-256color", LC_ALL="C.UTF-8", LANG="C.UTF-8")
             os.execv(sys.executable, [sys.executable, "-m", "lapiswing", *args])
         self.screen = pyte.Screen(columns, rows)
-        self.stream, self.raw, self.ended = pyte.ByteStream(self.screen), b"", False
+        self.stream, self.output, self.ended = pyte.ByteStream(self.screen), b"", False
         self.resize(columns, rows)
 
     def resize(self, columns, rows):
@@ -273,6 +283,7 @@
         os.kill(self.pid, signal.SIGWINCH)
 
     def pump(self, seconds):
+        """Passes output to the emulated screen, once; waits for it at most so long."""
         end = time.monotonic() + seconds
         while time.monotonic() < end and not self.ended:
             if select.select([self.fd], [], [], 0.05)[0]:
@@ -281,14 +292,14 @@
                 except OSError:
                     data = b""
                 self.ended = not data
-                self.raw += data
+                self.output += data
                 self.stream.feed(data)
                 return
 
-    def until(self, wanted, most_s=30):
-        """Until a text is on the screen, or a function of the screen holds."""
+    def until(self, wanted, timeout_s=30):
+        """Waits until a text is on the screen, or a function of the screen's text is true; returns the text."""
         done = wanted if callable(wanted) else (lambda text: wanted in text)
-        end = time.monotonic() + most_s
+        end = time.monotonic() + timeout_s
         while not done(self.text()):
             assert time.monotonic() < end and not self.ended, f"not seen: {wanted}\n{self.text()}"
             self.pump(0.1)
@@ -313,7 +324,7 @@
 
 
 def alive(pid):
-    """Whether it runs; one that has ended and was not asked after yet has no arguments any more."""
+    """Whether a process runs. One that has ended but was not waited for (a zombie) has an empty command line."""
     try:
         with open(f"/proc/{pid}/cmdline", "rb") as file:
             return bool(file.read())
@@ -321,19 +332,20 @@
         return False
 
 
-class Site:
-    """The demo as an appliance: supervisor, gateway and stand-ins."""
+class DemoSite:
+    """The demo as started by `lapiswing up`: supervisor, gateway and stand-in servers."""
 
     def __init__(self):
         (self.port,) = free_ports(1)
         self.file, _ = write_demo(self.port, 5)
         self.state = self.file.with_name(self.file.name + ".state")
         self.run("up", str(self.file), "--no-console")
-        self.boxes = {row["box"]: row["role"] for row in self.ask("/v1/snapshot?parts=boxes")["boxes"]}
+        self.roles = {row["box"]: row["role"] for row in self.ask("/v1/snapshot?parts=boxes")["boxes"]}
 
-    def run(self, *args, good=True):
+    def run(self, *args, expect_success=True):
+        """Runs a command of lapiswing to its end."""
         done = subprocess.run([sys.executable, "-m", "lapiswing", *args], capture_output=True, text=True, timeout=60)
-        assert not good or done.returncode == 0, done.stdout + done.stderr
+        assert not expect_success or done.returncode == 0, done.stdout + done.stderr
         return done
 
     def ask(self, path):
@@ -345,6 +357,7 @@
         return self.run("act", "--at", str(self.state / "control.sock"), *args)
 
     def call(self, text="soup?", model="menu-question"):
+        """Sends one chat request and returns its duration in s."""
         body = json.dumps({"model": model, "messages": [{"role": "user", "content": text}], "metadata": {"answer_tokens": "5"}})
         request = urllib.request.Request(
             f"http://127.0.0.1:{self.port}/v1/chat/completions",
@@ -357,6 +370,7 @@
         return time.monotonic() - start
 
     def children(self):
+        """The supervisor's children by name."""
         return {c["name"]: c for c in json.loads((self.state / "status.json").read_text())["children"]}
 
     def close(self):
@@ -367,7 +381,7 @@
 
 @pytest.fixture(scope="module")
 def site():
-    site = Site()
+    site = DemoSite()
     yield site
     site.close()
 
@@ -376,147 +390,147 @@
 def terminal():
     opened = []
 
-    def make(*args, **more):
-        opened.append(Terminal([str(a) for a in args], **more))
+    def open_terminal(*args, **size):
+        opened.append(Terminal([str(arg) for arg in args], **size))
         return opened[-1]
 
-    yield make
-    for one in opened:
-        one.close()
+    yield open_terminal
+    for console in opened:
+        console.close()
 
 
 def number_after(text, label):
     return int(re.search(rf"{label}\s+(\d+)", text).group(1))
 
 
-def test_the_numbers_on_the_screen_are_the_gateways_and_the_boxs(site, terminal):
-    t = terminal("console", "--at", site.state / "gateway.sock", "--read-only")
-    t.until("All well")
+def test_counts_on_the_screen_match_the_admin_snapshot(site, terminal):
+    console = terminal("console", "--at", site.state / "gateway.sock", "--read-only")
+    console.until("All well")
     for i in range(15):
         site.call(f"question {i}")
     snap = site.ask("/v1/snapshot")
-    done, boxes = snap["counts"]["done"], {b["box"]: b for b in snap["boxes"]}
-    text = t.until(lambda s: f"done {done}," in s)
+    done, rows_by_server = snap["counts"]["done"], {row["box"]: row for row in snap["boxes"]}
+    text = console.until(lambda s: f"done {done}," in s)
     assert number_after(text, "pushed back") == snap["counts"]["pushed back"]
     assert number_after(text, " open") == 0
-    t.key(b"2")
-    text = t.until(lambda s: "5 in all" in s)
-    for name, row in boxes.items():
+    console.key(b"2")
+    text = console.until(lambda s: "5 in all" in s)
+    for name, row in rows_by_server.items():
         line = next(line for line in text.splitlines() if name in line)
         assert row["role"] in line and "ready" in line and re.search(r"\s0\s*$", line)
-    t.key(b"5")
-    t.until(lambda s: re.search(rf"demo\s+0\s+{done}\s+{done}\s+0\s+0", s))
-    t.key(b"d")
-    t.until("look only")
-    t.key(b"q")
-    t.pump(1)
-
-
-def test_an_operator_drains_all_writers_from_the_console_and_takes_one_back(site, terminal):
-    t = terminal("up", site.file, "--attach")
-    t.until("All well")
-    writers = [b for b, role in site.boxes.items() if role == "write"]
-    for box in writers[1:]:
-        site.act("drain", box)
-    t.key(b"2")
-    t.until("draining (operator)")
-    row = sorted(site.boxes).index(writers[0])
-    t.key(b"g" + b"j" * row)
-    t.until(lambda s: f">{writers[0]}" in s)
-    t.key(b"d")
-    t.until("Type yes")
-    t.key(b"yes\r")
-    t.until("SERIOUS")
-    text = t.until("3 of 3 writers drain")
+    console.key(b"5")
+    console.until(lambda s: re.search(rf"demo\s+0\s+{done}\s+{done}\s+0\s+0", s))
+    console.key(b"d")
+    console.until("look only")
+    console.key(b"q")
+    console.pump(1)
+
+
+def test_operator_drains_all_writers_and_takes_one_back(site, terminal):
+    console = terminal("up", site.file, "--attach")
+    console.until("All well")
+    writers = [name for name, role in site.roles.items() if role == "write"]
+    for name in writers[1:]:
+        site.act("drain", name)
+    console.key(b"2")
+    console.until("draining (operator)")
+    row_index = sorted(site.roles).index(writers[0])
+    console.key(b"g" + b"j" * row_index)
+    console.until(lambda s: f">{writers[0]}" in s)
+    console.key(b"d")
+    console.until("Type yes")
+    console.key(b"yes\r")
+    console.until("SERIOUS")
+    text = console.until("3 of 3 writers drain")
     other = terminal("console", "--at", site.state / "gateway.sock", "--mono")  # opened while no writer is left
     other.until("all 3 writers drain")
     assert "do: " in other.text()
-    done = site.run("status", "--at", str(site.state / "gateway.sock"), good=False)
+    done = site.run("status", "--at", str(site.state / "gateway.sock"), expect_success=False)
     assert done.returncode == 4 and "all 3 writers drain" in done.stdout
-    t.key(b"t")
-    t.until(lambda s: "SERIOUS" not in s)
-    for box in writers[1:]:
-        site.act("take-back", box)
-    t.until("All well")
+    console.key(b"t")
+    console.until(lambda s: "SERIOUS" not in s)
+    for name in writers[1:]:
+        site.act("take-back", name)
+    console.until("All well")
     site.call()
     audit = [json.loads(line) for line in (site.state / "audit.jsonl").read_text().splitlines()]
     assert [a["ask"]["act"] for a in audit][-6:] == ["drain", "drain", "drain", "take-back", "take-back", "take-back"]
     assert text
 
 
-def test_tiny_and_back_closed_by_hangup_and_stopped_in_a_busy_minute(site, terminal):
-    """Whatever becomes of a console, reqs are answered as before."""
-    t, stopped, hung = (terminal("console", "--at", site.state / "gateway.sock") for _ in range(3))
-    for one in (t, stopped, hung):
-        one.until("All well")
+def test_resized_stopped_or_closed_consoles_do_not_disturb_requests(site, terminal):
+    """Requests must be answered as before while one console is made tiny, one is stopped and one is hung up."""
+    resized, stopped, hung = (terminal("console", "--at", site.state / "gateway.sock") for _ in range(3))
+    for console in (resized, stopped, hung):
+        console.until("All well")
     os.kill(stopped.pid, signal.SIGSTOP)
     os.kill(hung.pid, signal.SIGHUP)
-    before, times, end = site.ask("/v1/snapshot")["counts"]["done"], [], threading.Event()
+    before, durations_s, end = site.ask("/v1/snapshot")["counts"]["done"], [], threading.Event()
 
-    def busy():
+    def send_requests():
         while not end.is_set():
-            times.append(site.call("busy"))
+            durations_s.append(site.call("busy"))
 
-    threads = [threading.Thread(target=busy) for _ in range(4)]
+    threads = [threading.Thread(target=send_requests) for _ in range(4)]
     for thread in threads:
         thread.start()
-    t.resize(20, 5)
-    t.until(lambda s: "site" in s or "demo" in s)
+    resized.resize(20, 5)
+    resized.until(lambda s: "site" in s or "demo" in s)
     for key in (b"1", b"2", b"3", b"?", b"x", b"/", b"\x1b", b"6"):
-        t.key(key)
-        t.pump(0.3)
-    t.resize(80, 24)
-    t.until("overview")
-    while len(times) < 60:
-        t.pump(0.1)
+        resized.key(key)
+        resized.pump(0.3)
+    resized.resize(80, 24)
+    resized.until("overview")
+    while len(durations_s) < 60:
+        resized.pump(0.1)
     end.set()
     for thread in threads:
         thread.join()
     hung.pump(1)
     os.kill(stopped.pid, signal.SIGCONT)
-    stopped.until(lambda s: f"done {before + len(times)}," in s)
+    stopped.until(lambda s: f"done {before + len(durations_s)}," in s)
     counts = site.ask("/v1/snapshot")["counts"]
-    assert counts["done"] == before + len(times) and counts["aborted"] == 0 and counts["pushed back"] == 0
-    assert max(times) < 3
+    assert counts["done"] == before + len(durations_s) and counts["aborted"] == 0 and counts["pushed back"] == 0
+    assert max(durations_s) < 3
 
 
 def test_ten_consoles_at_once(site, terminal):
-    many = [terminal("console", "--at", site.state / "gateway.sock", columns=100) for _ in range(10)]
-    for one in many:
-        one.until("All well")
+    consoles = [terminal("console", "--at", site.state / "gateway.sock", columns=100) for _ in range(10)]
+    for console in consoles:
+        console.until("All well")
     assert site.call() < 3
-    for one in many:
-        one.key(b"q")
+    for console in consoles:
+        console.key(b"q")
 
 
-def test_a_gateway_that_is_killed_comes_back_under_its_console(site, terminal):
-    t = terminal("up", site.file, "--attach")
-    t.until("All well")
+def test_console_shows_the_restart_of_a_killed_gateway(site, terminal):
+    console = terminal("up", site.file, "--attach")
+    console.until("All well")
     site.call()
     old = site.children()["gateway"]
     os.kill(old["pid"], signal.SIGKILL)
-    t.until("started again")
+    console.until("started again")
     new = site.children()["gateway"]
     assert new["pid"] != old["pid"] and new["why"] == "killed by signal 9" and new["last_words"]
     site.call()
-    text = t.until("this gateway was started again")
+    text = console.until("this gateway was started again")
     assert "killed by signal 9" in text.replace("\n", " ")
 
 
-def test_closing_the_terminal_leaves_routing_running_and_a_lock_prevents_two(site, terminal):
-    t = terminal("up", site.file, "--attach")
-    t.until("demo")
+def test_site_survives_its_terminal_and_a_lock_prevents_a_second_supervisor(site, terminal):
+    console = terminal("up", site.file, "--attach")
+    console.until("demo")
     pids = {c["pid"] for c in site.children().values()}
-    os.kill(t.pid, signal.SIGHUP)
-    t.pump(1)
+    os.kill(console.pid, signal.SIGHUP)
+    console.pump(1)
     site.call()
     again = site.run("up", str(site.file), "--no-console")
     assert "Running" in again.stdout and {c["pid"] for c in site.children().values()} == pids
-    second = site.run("up", str(site.file), "--foreground", good=False)
+    second = site.run("up", str(site.file), "--foreground", expect_success=False)
     assert second.returncode == 2 and "runs it already" in second.stderr
 
 
-def test_a_supervisor_that_dies_leaves_the_gateway_and_the_next_one_finds_it(site):
+def test_new_supervisor_takes_over_the_processes_of_a_killed_one(site):
     from lapiswing.appliance.supervise import holder_of
 
     gateway, supervisor = site.children()["gateway"]["pid"], holder_of(site.state)
@@ -525,14 +539,14 @@
     while holder_of(site.state) is not None and time.monotonic() < end:
         time.sleep(0.02)
     site.call()
-    boxes = site.children()["stand-ins"]["pid"]
+    stand_ins = site.children()["stand-ins"]["pid"]
     site.run("up", str(site.file), "--no-console")
-    assert site.children()["gateway"]["pid"] == gateway and site.children()["stand-ins"]["pid"] == boxes
+    assert site.children()["gateway"]["pid"] == gateway and site.children()["stand-ins"]["pid"] == stand_ins
     site.call()
 
 
-def test_status_tells_and_its_exit_code_can_be_used(site, tmp_path):
-    done = site.run("status", "--at", str(site.state / "gateway.sock"), "--json", good=False)
+def test_exit_codes_of_status_and_other_commands(site, tmp_path):
+    done = site.run("status", "--at", str(site.state / "gateway.sock"), "--json", expect_success=False)
     assert done.returncode in (0, 3) and json.loads(done.stdout)["v"] == 1
     assert CliRunner().invoke(main, ["status", "--at", str(tmp_path / "none")]).exit_code == 5
     result = CliRunner().invoke(main, ["console", "--at", str(tmp_path / "none")])
@@ -542,7 +556,7 @@
     assert CliRunner().invoke(main, ["down", str(tmp_path / "x")]).exit_code == 2
 
 
-def test_bad_settings_are_told_at_once_and_nothing_is_left_running(tmp_path):
+def test_invalid_settings_are_reported_and_nothing_is_left_running(tmp_path):
     file = tmp_path / "bad.txtpb"
     file.write_text('gateway { nam: "x" }')
     result = CliRunner().invoke(main, ["up", str(file), "--no-console"])
@@ -552,18 +566,18 @@
     assert holder_of(tmp_path / "bad.txtpb.state") is None
 
 
-def test_a_gateway_that_can_not_start_says_why(tmp_path):
+def test_gateway_that_can_not_listen_says_why(tmp_path):
     import socket
 
-    held = socket.create_server(("127.0.0.1", 0))
+    occupied = socket.create_server(("127.0.0.1", 0))
     file = tmp_path / "taken.txtpb"
     file.write_text(
-        f'listen {{ port: {held.getsockname()[1]} }} group {{ name: "g" effect: REPLAYABLE }} '
+        f'listen {{ port: {occupied.getsockname()[1]} }} group {{ name: "g" effect: REPLAYABLE }} '
         'kind { name: "k" role: BOTH memory_tokens: 10 } box { id: "127.0.0.1:9" kind: "k" }'
     )
     done = subprocess.run(
         [sys.executable, "-m", "lapiswing", "up", str(file), "--no-console"], capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 2 and "can't listen" in done.stderr
-    held.close()
+    occupied.close()
     subprocess.run([sys.executable, "-m", "lapiswing", "down", str(file)], capture_output=True, timeout=60)
