--- a/lapiswing/admin/diagnosis.py
+++ b/lapiswing/admin/diagnosis.py
@@ -55,7 +55,7 @@
 REMEDIES = {
     "no box": "start a box of that role, or take back one that drains; until then all such reqs are pushed back",
     "last box": "bring another box of that role up before touching this one",
-    "fails fast": "look at that box's log; drain it if it lasts: it fails faster than the others work",
+    "fails fast": "look at that box's log; drain it if it lasts: it fails faster than other boxes answer",
     "silent": "look at that box; restart it if other gateways say the same",
     "unreachable": "check that box's process, its port and the network to it",
     "slow": "look for load or heat on that box; drain it if its answers stay late",
@@ -75,7 +75,7 @@
     "disk": "delete old logs and records, or make room",
     "overloaded": "more gateways, or a faster machine: this process serves its sockets late",
     "open reqs": "find out why boxes are slow; raise limits.open_reqs only if memory allows",
-    "cold": "expect pushbacks for about a ramp time; restart fewer boxes at a time",
+    "cold": "expect pushbacks for about rules.ramp_ms; restart fewer boxes at a time",
     "draining": "nothing, if it was you; else find out who sent the signal",
     "fault": "a fault of this program: keep the log lines before it and report them",
 }
--- a/lapiswing/admin/serve.py
+++ b/lapiswing/admin/serve.py
@@ -79,15 +79,15 @@
 
     def start(self):
         """Opens the sockets and the audit log, and takes the first sample. Raises OSError."""
-        s = self.settings
+        settings = self.settings
         base = self.gateway.base
-        for path, mode, may_act in ((s.path, 0o660, False), (s.control_path, 0o600, True)):
+        for path, mode, may_act in ((settings.path, 0o660, False), (settings.control_path, 0o600, True)):
             if path:
                 self.serve(listen_unix(os.path.join(base, path), mode), lambda exchange, may_act=may_act: may_act)
-        if s.port:
-            self.serve(listen_socket(s.host, s.port), self.access_by_key)
-        if s.audit_file:
-            self.audit = open(os.path.join(base, s.audit_file), "a", encoding="utf-8")
+        if settings.port:
+            self.serve(listen_socket(settings.host, settings.port), self.access_by_key)
+        if settings.audit_file:
+            self.audit = open(os.path.join(base, settings.audit_file), "a", encoding="utf-8")
         self.loop.after.append(self.facts.record_turn)
         self.record_change("gateway", text=f"started, process {os.getpid()}")
         self.take_sample()
@@ -190,6 +190,7 @@
         return self.error(exchange, 404, "unknown path")
 
     def error(self, exchange, status, text):
+        """Answers with an error message."""
         exchange.json(status, {"v": VERSION, "error": text})
 
     def summary(self):
@@ -404,7 +405,7 @@
             return self.error(exchange, 400, "after: a sequence number or `now` is expected")
         Follower(self, exchange, seq)
 
-    # ---- actions
+    # ---- actions: each `act_...` checks the request, raises ActionRefused or returns the function that carries the action out
 
     def handle_action(self, exchange):
         """Validates an action, writes it to the audit log, carries it out and answers when it is on the disk."""
@@ -464,9 +465,11 @@
             os.fsync(self.audit.fileno())
 
     def act_drain(self, request, what):
+        """Drains a server by order of an operator."""
         return self.set_drain(what, True)
 
     def act_take_back(self, request, what):
+        """Ends an operator's drain of a server."""
         return self.set_drain(what, False)
 
     def set_drain(self, what, draining):
@@ -485,6 +488,7 @@
         return do
 
     def act_cap(self, request, what):
+        """Limits the request rate of a tenant for some minutes."""
         tenant, rps, minutes = self.tenant_index(what), request.get("rps"), request.get("minutes", 60)
         for name, value, max_value in (("rps", rps, 1e6), ("minutes", minutes, 7 * 24 * 60)):
             if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value <= max_value:
@@ -497,6 +501,7 @@
         return do
 
     def act_uncap(self, request, what):
+        """Lifts the cap on a tenant."""
         tenant = self.tenant_index(what)
         if tenant not in self.core.caps.caps:
             raise ActionRefused(f"{what} has no cap")
@@ -510,12 +515,14 @@
         return names.index(what)
 
     def act_acknowledge(self, request, what):
+        """Acknowledges a finding."""
         kind, subject = request.get("kind"), what or ""
         if (kind, subject) not in self.diagnosis.open:
             raise ActionRefused(f"no finding {kind!r} about {subject!r}")
         return lambda: f"acknowledged: {kind} {subject}" if self.diagnosis.acknowledge(kind, subject) else ""
 
     def act_drain_gateway(self, request, what):
+        """Drains this gateway."""
         if self.core.draining:
             raise ActionRefused("the gateway drains already")
 
--- a/lapiswing/console/app.py
+++ b/lapiswing/console/app.py
@@ -135,7 +135,7 @@
         JsonCall(self, b"GET", f"/v1/snapshot?parts={SNAPSHOT_PARTS[self.model.view]}", None, self.on_snapshot)
 
     def on_snapshot(self, status, value):
-        """Passes a snapshot to the model, follows the feed if that is not done yet, and schedules the next snapshot."""
+        """Passes a snapshot to the model, starts to follow the feed if necessary, and schedules the next snapshot."""
         self.snapshot_pending = False
         if status != 200:
             return self.on_failure(value if status is None else value.get("error", f"answered {status}"))
