--- a/lapiswing/cli/common.py
+++ b/lapiswing/cli/common.py
@@ -1,5 +1,7 @@
-"""What several commands use. The other modules of this package know this one only; `main` alone knows
-them."""
+"""Options, errors and helpers that several commands share.
+
+The other modules of this package import no module of it but this one, and only `main` imports them, so that no import cycle
+can arise."""
 
 import gc
 import json
@@ -9,7 +11,7 @@
 
 from lapiswing.errors import CantListen, OperatorError
 
-at = click.option(
+at_option = click.option(
     "--at",
     "where",
     envvar="LAPISWING_ADMIN",
@@ -17,17 +19,17 @@
     show_default=True,
     help="Admin socket: a Unix path or host:port.",
 )
-key_option = click.option("--key", envvar="LAPISWING_ADMIN_KEY", help="Where host:port wants one.")
+key_option = click.option("--key", envvar="LAPISWING_ADMIN_KEY", help="Key of the admin port, where host:port requires one.")
 
 
-class Stop(click.ClickException):
-    """A bad argument, file or setting."""
+class InputError(click.ClickException):
+    """A bad argument, file or setting. Ends the command with exit code 2."""
 
     exit_code = 2
 
 
 class Told(click.ClickException):
-    """An OperatorError on its way out: what failed and where, then what to do."""
+    """Prints an OperatorError: what failed and where, then the advice on what to do."""
 
     def __init__(self, problem):
         super().__init__(str(problem))
@@ -42,8 +44,8 @@
             click.echo(f"To do: {self.problem.advice}", file=file, err=True)
 
 
-class Commands(click.Group):
-    """The outermost group: whatever a command meets that is for operators is told in two lines."""
+class ErrorReportingGroup(click.Group):
+    """The top-level command group: prints any OperatorError of a command as an error and an advice, without a traceback."""
 
     def invoke(self, context):
         try:
@@ -53,38 +55,38 @@
 
 
 def read_settings(path, load):
-    """The checked settings in a file, by `load(text, name)`. Raises Stop, SettingsError with every fault."""
+    """-> the checked settings of a file, loaded by `load(text, name)`. Raises InputError, SettingsError with every fault."""
     try:
         return load(Path(path).read_text(), str(path))
     except (OSError, UnicodeDecodeError) as problem:
-        raise Stop(f"{path}: {problem}") from None
+        raise InputError(f"{path}: {problem}") from None
 
 
-def tell(rows, as_json, fields):
-    """Rows (dicts) as a table of these fields, or as JSON."""
+def print_rows(rows, as_json, fields):
+    """Prints rows (dicts) as a table of these fields, or as JSON with all their fields."""
     if as_json:
         return click.echo(json.dumps(rows))
     if not rows:
         return click.echo("none")
-    widths = {f: max(len(f), *(len(str(r[f])) for r in rows)) for f in fields}
+    widths = {field: max(len(field), *(len(str(row[field])) for row in rows)) for field in fields}
     for row in [dict(zip(fields, fields)), *rows]:
-        click.echo("  ".join(f"{'-' if row[f] is None else row[f]!s:{widths[f]}}" for f in fields).rstrip())
+        click.echo("  ".join(f"{'-' if row[field] is None else row[field]!s:{widths[field]}}" for field in fields).rstrip())
 
 
 def run_gateway(gateway):
-    """Runs it until a signal ends it. Raises StoreError, CantListen."""
-    gateway.watch_signals()  # before it says that it listens: a signal then must find its handler
+    """Runs a gateway until a signal ends it. Raises StoreError, CantListen."""
+    gateway.watch_signals()  # before it reports that it listens: from then on, signals must be handled
     try:
         gateway.start()
     except OSError as problem:
         listen = gateway.settings.listen
         raise CantListen(problem.filename or f"{listen.host}:{listen.port}", problem) from None
-    # What was loaded at start is never garbage, and a full collection over thousands of open streams stops
-    # all of them for tens of milliseconds: it is made rare. What a req leaves behind is freed by counting,
-    # cycles by the young ones.
+    # Objects loaded at start never become garbage, and a full collection over thousands of open streams stops all of them
+    # for tens of milliseconds, so full collections are made rare. Objects of finished reqs are freed by reference counting,
+    # or as cycles by collections of the young generations.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20000, 20, 200)
     gateway.loop.run()
     if gateway.store is not None:
-        gateway.store.close()  # what waits is written
+        gateway.store.close()  # writes what is still queued
--- a/lapiswing/cli/demo.py
+++ b/lapiswing/cli/demo.py
@@ -6,14 +6,14 @@
 
 import click
 
-from lapiswing.cli.common import Stop, run_gateway
+from lapiswing.cli.common import InputError, run_gateway
 from lapiswing.settings import load_text
 from lapiswing.standin.demo import write_demo
 
 
 def run_demo(port, count):
     if count < 2:
-        raise Stop("--boxes: at least 2, a reader and a writer")
+        raise InputError("--boxes: at least 2, a reader and a writer")
     readers = max(1, count * 2 // 5)
     file, fleet = write_demo(port, count)
     folder = file.parent
@@ -24,7 +24,7 @@
     child = subprocess.Popen([sys.executable, "-m", "lapiswing", "standin", str(fleet)], stdout=subprocess.PIPE, env=os.environ)
     try:
         if not child.stdout.readline():
-            raise Stop("the stand-ins did not start")
+            raise InputError("the stand-ins did not start")
         click.echo(f"""
 {readers} readers and {count - readers} writers (stand-ins) behind http://127.0.0.1:{port}/v1, API key `demo`.
 Settings and fleet: {folder}. Try, in another terminal:
--- a/lapiswing/cli/dns.py
+++ b/lapiswing/cli/dns.py
@@ -5,7 +5,7 @@
 
 import click
 
-from lapiswing.cli.common import Stop, at, key_option, tell
+from lapiswing.cli.common import InputError, at_option, key_option, print_rows
 
 server = click.option(
     "--server", "servers", multiple=True, required=True, help="host:port of a name server; several may be given."
@@ -19,7 +19,7 @@
     try:
         addresses = [address_of(s) for s in servers]
     except ValueError as problem:
-        raise Stop(f"--server: {problem}") from None
+        raise InputError(f"--server: {problem}") from None
     return Resolver(Loop(Clock()), addresses, random.SystemRandom())
 
 
@@ -85,7 +85,7 @@
     rows = [b._asdict() for b in view.boxes]
     if as_json:
         return click.echo(json.dumps({"boxes": rows, "refused": view.refused}))
-    tell(
+    print_rows(
         [{k: clean(v) if isinstance(v, str) else v for k, v in row.items()} for row in rows],
         False,
         ("id", "name", "role", "kind", "zone", "cell", "size", "gen_ms", "draining"),
@@ -96,7 +96,7 @@
 
 
 @click.command()
-@at
+@at_option
 @key_option
 @click.option("--json", "as_json", is_flag=True)
 def boxes(where, key, as_json):
@@ -107,7 +107,7 @@
     snap = ask(where, "GET", "/v1/snapshot?parts=boxes,records", key=key)
     if as_json:
         return click.echo(json.dumps({"boxes": snap["boxes"], "records": snap["records"]}))
-    tell(
+    print_rows(
         [
             {
                 "box": b["box"],
--- a/lapiswing/cli/main.py
+++ b/lapiswing/cli/main.py
@@ -1,4 +1,4 @@
-"""Commands for operators. Exit codes: 0 well, 1 something ran and went wrong, 2 a bad argument, file or setting."""
+"""ErrorReportingGroup for operators. Exit codes: 0 well, 1 something ran and went wrong, 2 a bad argument, file or setting."""
 
 import json
 import sys
@@ -7,7 +7,7 @@
 import click
 
 from lapiswing import __version__
-from lapiswing.cli.common import Commands, Stop, read_settings, run_gateway
+from lapiswing.cli.common import ErrorReportingGroup, InputError, read_settings, run_gateway
 from lapiswing.cli.dns import boxes, dns_group
 from lapiswing.cli.site import act, console, down, status, up
 from lapiswing.cli.store import store
@@ -15,7 +15,7 @@
 from lapiswing.errors import CantListen
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=ErrorReportingGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, message="lapiswing %(version)s")
 def main():
     """A router for language-model servers that read prompts and write answers on separate engines.
@@ -42,9 +42,9 @@
             try:
                 load_boxes(boxes.read_text(), str(boxes), [k.name for k in settings.kind])
             except OSError as problem:
-                raise Stop(f"{boxes}: {problem.strerror}") from None
+                raise InputError(f"{boxes}: {problem.strerror}") from None
     except (OSError, UnicodeDecodeError) as problem:
-        raise Stop(f"{file}: {problem}") from None
+        raise InputError(f"{file}: {problem}") from None
     except SettingsError as problem:
         faults = problem.faults
     if as_json:
@@ -93,7 +93,7 @@
     try:
         value, specs = load_fleet(Path(file).read_bytes(), file)
     except OSError as problem:
-        raise Stop(f"{file}: {problem}") from None
+        raise InputError(f"{file}: {problem}") from None
     run_fleet(value, specs, Fleet)
 
 
@@ -152,9 +152,9 @@
     chosen = list(SCRIPTS) if names == "all" else names.split(",")
     for name in chosen:
         if name not in SCRIPTS:
-            raise Stop(f"--script: {name!r} is none of {', '.join(SCRIPTS)}")
+            raise InputError(f"--script: {name!r} is none of {', '.join(SCRIPTS)}")
     if router not in ROUTERS:
-        raise Stop(f"--router: {router!r} is none of {', '.join(ROUTERS)}")
+        raise InputError(f"--router: {router!r} is none of {', '.join(ROUTERS)}")
     play_days([(SCRIPTS[name], n) for n in range(seed, seed + seeds) for name in chosen], router, jobs, as_json, keep)
 
 
@@ -194,14 +194,14 @@
     from lapiswing.lab.replay import load_day
 
     if router not in ROUTERS:
-        raise Stop(f"--router: {router!r} is none of {', '.join(ROUTERS)}")
+        raise InputError(f"--router: {router!r} is none of {', '.join(ROUTERS)}")
     days = []
     for file in files:
         try:
             text = Path(file).read_bytes()
             load_day(text, speed, scale, seed, file)
         except OSError as problem:
-            raise Stop(f"{file}: {problem}") from None
+            raise InputError(f"{file}: {problem}") from None
         days.append((partial(load_day, text, speed, scale), seed))
     play_days(days, router, jobs, as_json, keep)
 
--- a/lapiswing/cli/site.py
+++ b/lapiswing/cli/site.py
@@ -10,14 +10,14 @@
 
 import click
 
-from lapiswing.cli.common import Stop, at, key_option, read_settings
+from lapiswing.cli.common import InputError, at_option, key_option, read_settings
 
 EXITS = {0: 0, 1: 0, 2: 3, 3: 4}
 NO_ANSWER = 5
 
 
 @click.command()
-@at
+@at_option
 @key_option
 @click.option("--json", "as_json", is_flag=True)
 def status(where, key, as_json):
@@ -49,7 +49,7 @@
 
 
 @click.command()
-@at
+@at_option
 @key_option
 @click.option("--mono", is_flag=True, help="No colours, plain characters.")
 @click.option("--read-only", is_flag=True, help="Don't use the control socket, where there is one beside.")
@@ -61,9 +61,9 @@
         if not read_only and Path(where).name == "gateway.sock" and os.access(beside, os.W_OK):
             control = str(beside)
         if not os.path.exists(control) and not os.path.exists(where):
-            raise Stop(f"{where}: no such socket; `admin.path` in the settings names it")
+            raise InputError(f"{where}: no such socket; `admin.path` in the settings names it")
     if not sys.stdout.isatty():
-        raise Stop("the console wants a terminal; `lapiswing status` does without")
+        raise InputError("the console wants a terminal; `lapiswing status` does without")
     from lapiswing.console.app import run_console
 
     run_console(
@@ -181,10 +181,10 @@
     if demo and not file:
         file, fleet = demo_files(port)
     if not file:
-        raise Stop("a settings FILE is wanted, or --demo")
+        raise InputError("a settings FILE is wanted, or --demo")
     file = Path(file).resolve()
     if not file.exists():
-        raise Stop(f"{file}: No such file or directory")
+        raise InputError(f"{file}: No such file or directory")
     folder = state_of(file)
     if fleet is None and (file.parent / "fleet.json").exists() and file.parent.name.startswith("lapiswing-demo"):
         fleet = file.parent / "fleet.json"
@@ -193,7 +193,7 @@
         return
     running = holder_of(folder)
     if attach and running is None:
-        raise Stop(f"{file}: nothing runs; `lapiswing up {file}` starts it")
+        raise InputError(f"{file}: nothing runs; `lapiswing up {file}` starts it")
     if running is None:
         from lapiswing.settings import load_text
 
@@ -238,7 +238,7 @@
     from lapiswing.appliance.supervise import last_words
 
     words = "\n".join(last_words(folder / "gateway.log")[-5:])
-    raise Stop(f"the gateway did not start; its last words:\n{words}\nLogs: {folder}")
+    raise InputError(f"the gateway did not start; its last words:\n{words}\nLogs: {folder}")
 
 
 def demo_files(port):
@@ -257,7 +257,7 @@
     folder = state_of(Path(file).resolve())
     pid = holder_of(folder)
     if pid is None:
-        raise Stop(f"{file}: nothing runs")
+        raise InputError(f"{file}: nothing runs")
     os.kill(pid, signal.SIGTERM)
     end = time.monotonic() + within_s
     while holder_of(folder) is not None:
--- a/lapiswing/cli/transfer.py
+++ b/lapiswing/cli/transfer.py
@@ -8,7 +8,7 @@
 
 import click
 
-from lapiswing.cli.common import Stop, read_settings, tell
+from lapiswing.cli.common import InputError, print_rows, read_settings
 from lapiswing.errors import CantListen
 
 MB = 1 << 20
@@ -49,9 +49,9 @@
         try:
             keys = [line.encode() for line in Path(key_file).read_text().split()]
         except (OSError, UnicodeDecodeError) as problem:
-            raise Stop(f"{key_file}: {problem}") from None
+            raise InputError(f"{key_file}: {problem}") from None
         if not keys:
-            raise Stop(f"{key_file}: holds no key")
+            raise InputError(f"{key_file}: holds no key")
     if folder:
         tls = Tls(Path(folder, f"{name}.crt"), Path(folder, f"{name}.key"), Path(folder, "authority.crt"), name)
     return Agent(Loop(Clock()), name, keys, memory, tls=tls)
@@ -107,7 +107,7 @@
         program.start()
     except OSError as problem:
         if problem.filename:
-            raise Stop(f"{file}: {problem.filename}: {problem.strerror}") from None
+            raise InputError(f"{file}: {problem.filename}: {problem.strerror}") from None
         raise CantListen(f"{file}: listen or control", problem) from None
     program.loop.run()
     program.close()
@@ -125,18 +125,18 @@
     """Offer one file as a state until it was taken."""
     host, _, port = listen.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise Stop(f"--listen: {listen!r} is not host:port")
+        raise InputError(f"--listen: {listen!r} is not host:port")
     agent = agent_of(name, key_file, folder)
     loop, state, taken, out = agent.loop, state or Path(file).name, [], []
     agent.put_file(state, file, lambda s, why: out.append((s, why)))
     loop.run_until(lambda: out, 1 << 50)
     if out[0][0] is None:
-        raise Stop(f"{file}: {out[0][1]}")
+        raise InputError(f"{file}: {out[0][1]}")
     manifest, progress = out[0][0].manifest, Progress(quiet)
     try:
         where = agent.listen(host, int(port))
     except OSError as problem:
-        raise Stop(f"--listen: {listen}: {problem.strerror}") from None
+        raise InputError(f"--listen: {listen}: {problem.strerror}") from None
     agent.on_taken = taken.append
     click.echo(f"{state}: {manifest.length} bytes, root {manifest.root.hex()}, at {where[0]}:{where[1]}")
     sys.stdout.flush()
@@ -178,9 +178,9 @@
     try:
         file_name(state)
     except ValueError as problem:
-        raise Stop(str(problem)) from None
+        raise InputError(str(problem)) from None
     if not os.path.isdir(folder_to):
-        raise Stop(f"--to: {folder_to}: no such folder")
+        raise InputError(f"--to: {folder_to}: no such folder")
     agent = agent_of(name, key_file, folder)
     loop, progress, now = agent.loop, Progress(quiet), agent.loop.clock.now_us()
     move = agent.fetch(state, holders, now, now + round(within_s * 1e6), lambda f: None, folder=folder_to, keep=True)
@@ -229,14 +229,14 @@
                 if row["part"]
                 else ("whole" if row["here"] == row["bytes"] else "file missing or of another length")
             )
-        return tell(rows, as_json, ("name", "bytes", "state", "root"))
+        return print_rows(rows, as_json, ("name", "bytes", "state", "root"))
     from lapiswing.transfer.frames import MAX_LISTED_STATES
     from lapiswing.loop import address_of
 
     try:
         where = address_of(what)
     except ValueError:
-        raise Stop(f"{what!r} is neither a folder nor host:port") from None
+        raise InputError(f"{what!r} is neither a folder nor host:port") from None
     agent = agent_of(name, key_file, folder)
     loop, out, start = agent.loop, [], time.monotonic()
     agent.attach_to_holder(where, Probe(out))
@@ -266,7 +266,7 @@
     for key, value in head.items():
         if value is not None:
             click.echo(f"{key.replace('_', ' '):14} {', '.join(value) if isinstance(value, list) else value}")
-    tell(rows, False, ("name", "bytes", "root"))
+    print_rows(rows, False, ("name", "bytes", "root"))
     if states and states[0].total > MAX_LISTED_STATES:
         click.echo(f"... and {states[0].total - MAX_LISTED_STATES} more")
 
@@ -328,15 +328,15 @@
         from lapiswing.transfer.certificates import issue, write_secret
 
         if not name or not name.replace("-", "").replace(".", "").replace("_", "").isalnum() or name == "authority":
-            raise Stop(f"{name!r} can't be an agent's name: letters, digits, dot, dash and underscore are taken")
+            raise InputError(f"{name!r} can't be an agent's name: letters, digits, dot, dash and underscore are taken")
         try:
             key, certificate = issue(
                 Path(folder, "authority.key").read_bytes(), Path(folder, "authority.crt").read_bytes(), name, days
             )
         except OSError as problem:
-            raise Stop(f"{problem.filename}: {problem.strerror}; `lapiswing keys authority {folder}` makes one") from None
+            raise InputError(f"{problem.filename}: {problem.strerror}; `lapiswing keys authority {folder}` makes one") from None
         except ValueError as problem:
-            raise Stop(f"{folder}: {problem}") from None
+            raise InputError(f"{folder}: {problem}") from None
         if renew:
             for end in (".key", ".crt"):
                 Path(folder, name + end).unlink(missing_ok=True)
@@ -358,9 +358,9 @@
         Path(folder).mkdir(parents=True, exist_ok=True)
         for end, data in ((".key", key), (".crt", certificate)):
             if Path(folder, name + end).exists():
-                raise Stop(f"{Path(folder, name + end)}: is there already")
+                raise InputError(f"{Path(folder, name + end)}: is there already")
         for end, data in ((".key", key), (".crt", certificate)):
             write(Path(folder, name + end), data)
             click.echo(str(Path(folder, name + end)))
     except OSError as problem:
-        raise Stop(f"{problem.filename}: {problem.strerror}") from None
+        raise InputError(f"{problem.filename}: {problem.strerror}") from None
