--- a/lapiswing/__init__.py
+++ b/lapiswing/__init__.py
@@ -1,3 +1,3 @@
-"""lapiswing: a router for language-model servers that read and write in two stages."""
+"""lapiswing: a router for language-model serving with separate read (prefill) and write (decode) servers."""
 
 __version__ = "0.2.0"
--- a/lapiswing/__main__.py
+++ b/lapiswing/__main__.py
@@ -1,4 +1,4 @@
-"""python -m lapiswing: the command line."""
+"""Runs the command line: python -m lapiswing."""
 
 from lapiswing.cli.main import main
 
--- a/lapiswing/cli/main.py
+++ b/lapiswing/cli/main.py
@@ -1,4 +1,6 @@
-"""ErrorReportingGroup for operators. Exit codes: 0 well, 1 something ran and went wrong, 2 a bad argument, file or setting."""
+"""Commands for operators.
+
+Exit codes: 0 success, 1 the command ran and failed, 2 a bad argument, file or setting; `status` has codes of its own."""
 
 import json
 import sys
@@ -18,11 +20,11 @@
 @click.group(cls=ErrorReportingGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, message="lapiswing %(version)s")
 def main():
-    """A router for language-model servers that read prompts and write answers on separate engines.
+    """A router for language-model serving with separate prefill and decode servers.
 
     \b
     New here?      lapiswing demo
-    Own boxes?     write a settings file (docs/settings.md), then
+    Own servers?   write a settings file (docs/settings.md), then
                    lapiswing check FILE && lapiswing serve FILE
     """
 
@@ -38,17 +40,17 @@
     try:
         settings = load_text(Path(file).read_text(), file)
         if settings.boxes_file:
-            boxes = Path(file).parent / settings.boxes_file
+            boxes_file = Path(file).parent / settings.boxes_file
             try:
-                load_boxes(boxes.read_text(), str(boxes), [k.name for k in settings.kind])
+                load_boxes(boxes_file.read_text(), str(boxes_file), [kind.name for kind in settings.kind])
             except OSError as problem:
-                raise InputError(f"{boxes}: {problem.strerror}") from None
+                raise InputError(f"{boxes_file}: {problem.strerror}") from None
     except (OSError, UnicodeDecodeError) as problem:
         raise InputError(f"{file}: {problem}") from None
     except SettingsError as problem:
         faults = problem.faults
     if as_json:
-        click.echo(json.dumps({"file": file, "ok": not faults, "faults": [f._asdict() for f in faults]}))
+        click.echo(json.dumps({"file": file, "ok": not faults, "faults": [fault._asdict() for fault in faults]}))
     elif faults:
         for fault in faults:
             click.echo(str(fault), err=True)
@@ -62,13 +64,13 @@
 @click.option(
     "--admin-folder",
     type=click.Path(file_okay=False),
-    help="Where the admin sockets and the audit log go, if the settings do not say.",
+    help="Folder of the admin sockets, the audit log and the store where the settings name none.",
 )
 def serve(file, admin_folder):
     """Run one gateway in the foreground.
 
-    SIGTERM or Ctrl-C drains it: no new reqs, running ones end. A second one stops it at once. SIGHUP reads the
-    boxes file again."""
+    SIGTERM or Ctrl-C drains it: it takes no new requests, and running ones finish. A second signal stops it at once.
+    SIGHUP reads the boxes file again."""
     from lapiswing.gateway.serve import Gateway
     from lapiswing.observe import start_logs
     from lapiswing.settings import load_text
@@ -87,65 +89,68 @@
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def standin(file):
-    """Run stand-ins for boxes from a fleet file (JSON, see lapiswing/standin/fleet.py)."""
+    """Run stand-ins for model servers from a fleet file (JSON, see lapiswing/standin/fleet.py)."""
     from lapiswing.standin import Fleet, load_fleet
 
     try:
-        value, specs = load_fleet(Path(file).read_bytes(), file)
+        description, specs = load_fleet(Path(file).read_bytes(), file)
     except OSError as problem:
         raise InputError(f"{file}: {problem}") from None
-    run_fleet(value, specs, Fleet)
+    run_fleet(description, specs, Fleet)
 
 
-def run_fleet(value, specs, kind):
+def run_fleet(description, specs, fleet_class):
+    """Runs stand-ins until a signal stops them; prints one JSON line when all listen. Raises CantListen."""
     import signal
 
     from lapiswing.loop import Clock, Loop
     from lapiswing.standin.record import Record
 
     loop = Loop(Clock())
-    fleet = kind(loop, specs, value.get("seed", 1), value.get("models"), Record(loop, value.get("record")))
+    fleet = fleet_class(
+        loop, specs, description.get("seed", 1), description.get("models"), Record(loop, description.get("record"))
+    )
     try:
         fleet.start()
     except OSError as problem:
-        raise CantListen("a box of the fleet", problem) from None
-    fleet.play(value.get("script") or [], value.get("t0_us") or loop.clock.now_us())
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.on_signal(number, loop.stop)
+        raise CantListen("a server of the fleet", problem) from None
+    fleet.play(description.get("script") or [], description.get("t0_us") or loop.clock.now_us())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.on_signal(signal_number, loop.stop)
     click.echo(json.dumps({"ready": sorted(fleet.boxes)}))
     sys.stdout.flush()
     loop.run()
 
 
 @main.command()
-@click.option("--port", default=8080, show_default=True, help="Where the gateway listens, on 127.0.0.1.")
-@click.option("--boxes", default=5, show_default=True, help="Stand-in boxes: two in five read.")
+@click.option("--port", default=8080, show_default=True, help="The gateway's port on 127.0.0.1.")
+@click.option("--boxes", default=5, show_default=True, help="Number of stand-in servers, two in five of them readers (prefill).")
 def demo(port, boxes):
-    """Start a gateway with stand-in boxes on this machine, and print a curl line that works."""
+    """Start a gateway with stand-in servers on this machine, and print a curl command to try."""
     from lapiswing.cli.demo import run_demo
 
     run_demo(port, boxes)
 
 
 @main.command()
-@click.option("--script", "names", default="all", show_default=True, help="A script's name, several with commas, or all.")
+@click.option("--script", "names", default="all", show_default=True, help="Names of scripts, separated by commas, or all.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--seeds", default=1, show_default=True, help="How many seeds, from --seed on.")
+@click.option("--seeds", default=1, show_default=True, help="Number of seeds, counted up from --seed.")
 @click.option(
     "--router",
     default="module",
     show_default=True,
-    help="What decides: the module, or a baseline (random, round-robin) to measure against.",
+    help="What routes: the routing module, or a baseline for comparison (random, round-robin).",
 )
-@click.option("--jobs", default=1, show_default=True, help="Days played at once.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a day.")
-@click.option("--keep", type=click.Path(file_okay=False), help="A folder for the records of each day.")
+@click.option("--jobs", default=1, show_default=True, help="Days played in parallel.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per day.")
+@click.option("--keep", type=click.Path(file_okay=False), help="Folder that keeps the records of each day.")
 def badday(names, seed, seeds, router, jobs, as_json, keep):
-    """Play scripted bad days on loopback and judge the five rules from the traffic.
+    """Play scripted bad days on loopback and check the five rules on the recorded traffic.
 
-    Starts gateways, stand-in boxes and clients, injects the script, records what clients and boxes saw, and prints
-    for each rule the cases seen, the worst figure, the limit and what broke. Exits with 1 where a rule broke, where a
-    script's own trouble was not seen, or where a process died unasked."""
+    Starts gateways, stand-in servers and clients, injects the script's faults, records what clients and servers saw, and
+    prints for each rule the cases seen, the worst figure, the limit and the violations. Exits with 1 if a rule was
+    violated, if a fault that the script injects did not show in the records, or if a process ended unexpectedly."""
     from lapiswing.lab.doubles import ROUTERS
     from lapiswing.lab.scripts import SCRIPTS
 
@@ -155,38 +160,45 @@
             raise InputError(f"--script: {name!r} is none of {', '.join(SCRIPTS)}")
     if router not in ROUTERS:
         raise InputError(f"--router: {router!r} is none of {', '.join(ROUTERS)}")
-    play_days([(SCRIPTS[name], n) for n in range(seed, seed + seeds) for name in chosen], router, jobs, as_json, keep)
+    play_days(
+        [(SCRIPTS[name], day_seed) for day_seed in range(seed, seed + seeds) for name in chosen], router, jobs, as_json, keep
+    )
 
 
 def play_days(days, router, jobs, as_json, keep):
+    """Plays days, each (function of the seed that builds it, seed); prints the results and exits with 1 if one failed."""
     from concurrent.futures import ProcessPoolExecutor
 
     from lapiswing.lab.play import play_one
     from lapiswing.lab.run import format_result, passed
 
-    bad = 0
+    failed = 0
     with ProcessPoolExecutor(max(1, jobs)) as pool:
-        for result in pool.map(play_one, [(make, n, router, keep) for make, n in days]):
+        for result in pool.map(play_one, [(build_day, seed, router, keep) for build_day, seed in days]):
             click.echo(json.dumps(result) if as_json else result if isinstance(result, str) else format_result(result))
-            bad += isinstance(result, str) or not passed(result)
+            failed += isinstance(result, str) or not passed(result)
     if not as_json:
-        click.echo(f"{len(days)} days, {bad} bad")
-    sys.exit(1 if bad else 0)
+        click.echo(f"{len(days)} days, {failed} bad")
+    sys.exit(1 if failed else 0)
 
 
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 20), help="Times faster than the day.")
-@click.option("--scale", default=1.0, show_default=True, type=click.FloatRange(0.05, 1), help="Part of boxes and traffic.")
-@click.option("--seed", default=1, show_default=True, help="Of the traffic, which is drawn from the day's figures.")
-@click.option("--router", default="module", show_default=True, help="The module, or a baseline: random, round-robin.")
-@click.option("--jobs", default=1, show_default=True, help="Days played at once.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a day.")
-@click.option("--keep", type=click.Path(file_okay=False), help="A folder for the records.")
+@click.option(
+    "--speed", default=1.0, show_default=True, type=click.FloatRange(0.1, 20), help="How many times faster than real time."
+)
+@click.option(
+    "--scale", default=1.0, show_default=True, type=click.FloatRange(0.05, 1), help="Fraction of the day's servers and traffic."
+)
+@click.option("--seed", default=1, show_default=True, help="Seed of the traffic, which is drawn from the day's figures.")
+@click.option("--router", default="module", show_default=True, help="The routing module, or a baseline: random, round-robin.")
+@click.option("--jobs", default=1, show_default=True, help="Days played in parallel.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object per day.")
+@click.option("--keep", type=click.Path(file_okay=False), help="Folder that keeps the records of each day.")
 def replay(files, speed, scale, seed, router, jobs, as_json, keep):
-    """Play day files of the operators' bench through real sockets.
+    """Play day files of the platform's simulator through real sockets.
 
-    Fleet, traffic, clients and troubles are mapped onto stand-ins; what can't be mapped is named. Prints the audit of
+    Fleet, traffic, clients and faults are mapped onto stand-ins; what can't be mapped is listed. Prints the audit of
     the five rules and the service figure."""
     from functools import partial
 
@@ -215,8 +227,8 @@
 def session_key():
     """Print a new key for `sessions.token_key`.
 
-    To rotate: put the new key in front and restart the gateways one by one; take the old one out when the longest
-    session is over."""
+    To rotate: put the new key first and restart the gateways one by one; remove the old key when the longest session
+    is over."""
     from cryptography.fernet import Fernet
 
     click.echo(Fernet.generate_key().decode())
@@ -231,12 +243,12 @@
 @click.argument("url", default="ws://127.0.0.1:8080/v1/chat/sessions")
 @click.option("--key", default="demo", show_default=True, help="API key.")
 @click.option("--model", default="menu-question", show_default=True)
-@click.option("--raw", is_flag=True, help="Print each message as it comes.")
+@click.option("--raw", is_flag=True, help="Print each message as it arrives.")
 def session(url, key, model, raw):
-    """Try a WebSocket session by hand: each line typed is a call.
+    """Try a WebSocket session by hand: each line that you type is sent as a call.
 
     \b
-    /drop     cut the connection and come back with the token
+    /drop     cut the connection and resume with the token
     /cancel   cancel the running call
     /quit     close the session"""
     from lapiswing.cli.session import run_session
