--- a/lapiswing/cli/demo.py
+++ b/lapiswing/cli/demo.py
@@ -1,4 +1,4 @@
-"""`lapiswing demo`: a gateway in this process, stand-ins in a child process."""
+"""`lapiswing demo`: a gateway in this process, stand-ins for model servers in a child process."""
 
 import os
 import subprocess
@@ -12,16 +12,19 @@
 
 
 def run_demo(port, count):
+    """Runs the demo with `count` stand-ins until a signal ends it: some readers (prefill), the rest writers (decode)."""
     if count < 2:
-        raise InputError("--boxes: at least 2, a reader and a writer")
+        raise InputError("--boxes: must be at least 2, a reader and a writer")
     readers = max(1, count * 2 // 5)
-    file, fleet = write_demo(port, count)
-    folder = file.parent
+    settings_file, fleet_file = write_demo(port, count)
+    folder = settings_file.parent
     from lapiswing.gateway.serve import Gateway
     from lapiswing.observe import start_logs
 
-    gateway = Gateway(load_text(file.read_text(), str(file)), start_logs("info"))
-    child = subprocess.Popen([sys.executable, "-m", "lapiswing", "standin", str(fleet)], stdout=subprocess.PIPE, env=os.environ)
+    gateway = Gateway(load_text(settings_file.read_text(), str(settings_file)), start_logs("info"))
+    child = subprocess.Popen(
+        [sys.executable, "-m", "lapiswing", "standin", str(fleet_file)], stdout=subprocess.PIPE, env=os.environ
+    )
     try:
         if not child.stdout.readline():
             raise InputError("the stand-ins did not start")
