--- a/lapiswing/cli/store.py
+++ b/lapiswing/cli/store.py
@@ -1,4 +1,4 @@
-"""`lapiswing store`: looking at what a gateway remembers, and mending it, while no gateway runs on it."""
+"""`lapiswing store`: commands that inspect and repair a gateway's store while no gateway uses it."""
 
 import json
 import sys
@@ -10,32 +10,32 @@
 
 @click.group()
 def store():
-    """Look at what a gateway remembers, and mend it, while no gateway runs on it."""
+    """Inspect and repair a gateway's store while no gateway uses it."""
 
 
 @store.command()
 @folder
 @click.option("--json", "as_json", is_flag=True)
 def verify(folder, as_json):
-    """Read everything; exit with 1 where something can't be read. Changes nothing."""
+    """Read the whole store; exit with 1 if something can't be read. Changes nothing."""
     from lapiswing.store.tools import verify
 
-    found, counts = verify(folder)
-    bad = any(f.bad for f in found)
+    findings, counts = verify(folder)
+    is_damaged = any(finding.bad for finding in findings)
     if as_json:
-        click.echo(json.dumps({"ok": not bad, "findings": [f._asdict() for f in found], **counts}))
+        click.echo(json.dumps({"ok": not is_damaged, "findings": [finding._asdict() for finding in findings], **counts}))
     else:
-        for f in found:
-            click.echo(f"{'BAD ' if f.bad else ''}{f.file}: {f.text}")
-        click.echo(f"{'not good' if bad else 'good'}: " + ", ".join(f"{n} {name}" for name, n in counts.items()))
-    sys.exit(1 if bad else 0)
+        for finding in findings:
+            click.echo(f"{'BAD ' if finding.bad else ''}{finding.file}: {finding.text}")
+        click.echo(f"{'not good' if is_damaged else 'good'}: " + ", ".join(f"{count} {name}" for name, count in counts.items()))
+    sys.exit(1 if is_damaged else 0)
 
 
 @store.command()
 @folder
-@click.option("--prefix", default="", help="Keys that begin so: k/ idempotency keys, d/ drains, c/ caps.")
+@click.option("--prefix", default="", help="Only keys with this prefix: k/ idempotency keys, d/ drains, c/ caps.")
 def dump(folder, prefix):
-    """A JSON line for each key: its value where it is known to this program, else in hex."""
+    """Print a JSON line for each key, with its value decoded where its format is known, else in hex."""
     import msgspec
 
     from lapiswing.state.records import CapRecord, KeyRecord
@@ -44,12 +44,12 @@
     for key, value, expires in dump(folder):
         if not key.startswith(prefix.encode()):
             continue
-        kind = {b"k/": KeyRecord, b"c/": CapRecord}.get(key[:2])
+        record_type = {b"k/": KeyRecord, b"c/": CapRecord}.get(key[:2])
         try:
-            shown = msgspec.to_builtins(msgspec.msgpack.decode(value, type=kind)) if kind else value.decode()
-            if kind:
-                shown = dict(zip(kind.__struct_fields__, shown))
-            text = json.dumps({"key": key.decode(errors="replace"), "expires_unix_ms": expires or None, "value": shown})
+            decoded = msgspec.to_builtins(msgspec.msgpack.decode(value, type=record_type)) if record_type else value.decode()
+            if record_type:
+                decoded = dict(zip(record_type.__struct_fields__, decoded))
+            text = json.dumps({"key": key.decode(errors="replace"), "expires_unix_ms": expires or None, "value": decoded})
         except (msgspec.DecodeError, UnicodeDecodeError):
             text = json.dumps({"key": key.decode(errors="replace"), "expires_unix_ms": expires or None, "hex": value.hex()})
         click.echo(text)
@@ -58,7 +58,7 @@
 @store.command()
 @folder
 def compact(folder):
-    """Rewrite it without what no longer counts."""
+    """Rewrite the store without expired and overwritten records."""
     from lapiswing.store.tools import compact
 
     before, after = compact(folder)
@@ -67,11 +67,11 @@
 
 @store.command()
 @folder
-@click.option("--keep", required=True, type=click.Path(), help="A new folder on the same disk that keeps all files as they were.")
+@click.option("--keep", required=True, type=click.Path(), help="New folder on the same disk that keeps all files as they were.")
 def repair(folder, keep):
-    """Make it open again with all that can be read, in order, up to the first byte that can't. Never invents anything.
+    """Make a damaged store usable again: keep all records, in order, up to the first byte that can't be read, and add none.
 
-    What was acknowledged after that byte is lost: calls with a key whose record is lost can run twice."""
+    Records after that byte are lost though they were acknowledged: a call whose idempotency key is lost can run twice."""
     from lapiswing.store.tools import repair
 
     for line in repair(folder, keep) or ["nothing was left out"]:
