--- a/lapiswing/cli/dns.py
+++ b/lapiswing/cli/dns.py
@@ -1,4 +1,4 @@
-"""`lapiswing dns` and `lapiswing boxes`."""
+"""`lapiswing dns` and `lapiswing boxes`: DNS discovery, and the list of model servers (called boxes in commands)."""
 
 import json
 import random
@@ -7,17 +7,18 @@
 
 from lapiswing.cli.common import InputError, at_option, key_option, print_rows
 
-server = click.option(
-    "--server", "servers", multiple=True, required=True, help="host:port of a name server; several may be given."
+server_option = click.option(
+    "--server", "servers", multiple=True, required=True, help="host:port of a name server; may be repeated."
 )
 
 
-def resolver_of(servers):
+def make_resolver(servers):
+    """-> a resolver on a loop of its own. Raises InputError."""
     from lapiswing.dns.resolver import Resolver
     from lapiswing.loop import Clock, Loop, address_of
 
     try:
-        addresses = [address_of(s) for s in servers]
+        addresses = [address_of(server) for server in servers]
     except ValueError as problem:
         raise InputError(f"--server: {problem}") from None
     return Resolver(Loop(Clock()), addresses, random.SystemRandom())
@@ -25,19 +26,19 @@
 
 @click.group("dns")
 def dns_group():
-    """Ask name servers what a gateway would ask."""
+    """Send name servers the queries that a gateway sends."""
 
 
 @dns_group.command()
 @click.argument("name")
 @click.argument("kind", default="A", type=click.Choice(["A", "AAAA", "CNAME", "PTR", "SRV", "TXT"]))
-@server
+@server_option
 def query(name, kind, servers):
-    """One question."""
-    resolver, out = resolver_of(servers), []
-    resolver.ask(name, kind, lambda answer, why: out.append((answer, why)))
-    resolver.loop.run_until(lambda: out, 60_000_000)
-    answer, why = out[0]
+    """Send one query and print its records."""
+    resolver, results = make_resolver(servers), []
+    resolver.ask(name, kind, lambda answer, why: results.append((answer, why)))
+    resolver.loop.run_until(lambda: results, 60_000_000)
+    answer, why = results[0]
     if answer is None:
         raise click.ClickException(f"{name}: {why}")
     if not answer.records:
@@ -47,7 +48,7 @@
     for record in answer.records:
         click.echo(
             clean(
-                " ".join(str(r.decode(errors="replace") if isinstance(r, bytes) else r) for r in record)
+                " ".join(str(field.decode(errors="replace") if isinstance(field, bytes) else field) for field in record)
                 if isinstance(record, tuple)
                 else record
             )
@@ -57,36 +58,39 @@
 
 @dns_group.command()
 @click.argument("service")
-@server
+@server_option
 @click.option("--srv", is_flag=True, help="A plain SRV name without DNS-SD.")
 @click.option("--json", "as_json", is_flag=True)
 def browse(service, servers, srv, as_json):
-    """The boxes of a service, as a gateway would see them, and those that it would refuse."""
+    """List the servers of a service as a gateway would see them, and those that it would refuse."""
     from lapiswing.console.text import clean
     from lapiswing.dns.browse import Browser
     from lapiswing.dns.cache import Cache
 
-    resolver = resolver_of(servers)
+    resolver = make_resolver(servers)
     loop, browser = resolver.loop, Browser(service, Cache(), sd=not srv)
 
-    def ask():
+    def ask_wanted():
         for name, kind in browser.wants(loop.clock.now_us()):
             resolver.ask(
                 name,
                 kind,
-                lambda answer, why, name=name, kind=kind: (browser.told(name, kind, answer, loop.clock.now_us(), why), ask()),
+                lambda answer, why, name=name, kind=kind: (
+                    browser.told(name, kind, answer, loop.clock.now_us(), why),
+                    ask_wanted(),
+                ),
             )
 
-    ask()
+    ask_wanted()
     loop.run_until(lambda: not browser.asking, 30_000_000)
     view = browser.view(loop.clock.now_us())
     if view.state == "none":
         raise click.ClickException(f"{service}: {browser.problem or 'nothing is known'}")
-    rows = [b._asdict() for b in view.boxes]
+    rows = [server._asdict() for server in view.boxes]
     if as_json:
         return click.echo(json.dumps({"boxes": rows, "refused": view.refused}))
     print_rows(
-        [{k: clean(v) if isinstance(v, str) else v for k, v in row.items()} for row in rows],
+        [{field: clean(value) if isinstance(value, str) else value for field, value in row.items()} for row in rows],
         False,
         ("id", "name", "role", "kind", "zone", "cell", "size", "gen_ms", "draining"),
     )
@@ -100,34 +104,34 @@
 @key_option
 @click.option("--json", "as_json", is_flag=True)
 def boxes(where, key, as_json):
-    """The boxes as merged from all sources, with each source's word and who won."""
+    """List the servers as merged from all sources, with what each source says and which one decides."""
     from lapiswing.admin.client import ask
     from lapiswing.console.text import clean
 
-    snap = ask(where, "GET", "/v1/snapshot?parts=boxes,records", key=key)
+    snapshot = ask(where, "GET", "/v1/snapshot?parts=boxes,records", key=key)
     if as_json:
-        return click.echo(json.dumps({"boxes": snap["boxes"], "records": snap["records"]}))
+        return click.echo(json.dumps({"boxes": snapshot["boxes"], "records": snapshot["records"]}))
     print_rows(
         [
             {
-                "box": b["box"],
-                "role": b["role"],
-                "mode": b["mode"],
-                "why": clean(b["why"] or "-"),
-                "words": clean(", ".join(f"{s}: {w}" for s, w in (b["words"] or {}).items())),
+                "box": box["box"],
+                "role": box["role"],
+                "mode": box["mode"],
+                "why": clean(box["why"] or "-"),
+                "words": clean(", ".join(f"{source}: {word}" for source, word in (box["words"] or {}).items())),
             }
-            for b in snap["boxes"]
+            for box in snapshot["boxes"]
         ],
         False,
         ("box", "role", "mode", "why", "words"),
     )
-    for source in (snap["records"] or {}).get("sources", ()):
+    for source in (snapshot["records"] or {}).get("sources", ()):
         click.echo(
             clean(
                 f"{source['source']}: {source['state']}, {source['boxes']} boxes"
                 + (f" ({source['problem']})" if source["problem"] else "")
             )
         )
-    for row in (snap["records"] or {}).get("refused", ()):
+    for row in (snapshot["records"] or {}).get("refused", ()):
         click.echo(clean(f"refused: {row['name']}: {row['why']}"))
     return None
