--- a/lapiswing/cli/common.py
+++ b/lapiswing/cli/common.py
@@ -82,7 +82,7 @@
         listen = gateway.settings.listen
         raise CantListen(problem.filename or f"{listen.host}:{listen.port}", problem) from None
     # Objects loaded at start never become garbage, and a full collection over thousands of open streams stops all of them
-    # for tens of milliseconds, so full collections are made rare. Objects of finished reqs are freed by reference counting,
+    # for tens of milliseconds, so full collections are made rare. Objects of finished requests are freed by reference counting,
     # or as cycles by collections of the young generations.
     gc.collect()
     gc.freeze()
--- a/lapiswing/settings/load.py
+++ b/lapiswing/settings/load.py
@@ -275,7 +275,7 @@
     if not settings.group:
         yield "group", "at least one group is needed"
     if not settings.kind:
-        yield "kind", "at least one kind of box is needed"
+        yield "kind", "at least one kind of server is needed"
     records = settings.dns.service or settings.dns.srv
     if not settings.box and not settings.boxes_file and not records:
         yield "box", "no box, no boxes_file and no dns.service or dns.srv"
