--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: only those may, and none of them may pass unseen."""
+"""The list of known failures in KNOWN-RED.txt: only listed tests may fail, and a listed test that passes fails the run."""
 
 import subprocess
 import sys
@@ -6,22 +6,22 @@
 
 import pytest
 
-GOOD, BAD = "tests/test_it.py::test_good", "tests/test_it.py::test_bad"
-ROW = "{} | a cause | an issue\n"
+PASSING_TEST, FAILING_TEST = "tests/test_it.py::test_good", "tests/test_it.py::test_bad"
+ROW_FORMAT = "{} | a cause | an issue\n"
 
 
 @pytest.mark.parametrize(
-    "listed, code",
+    "listed, exit_code",
     [
         ("", 1),
-        (ROW.format(BAD), 0),
-        (ROW.format(GOOD), 1),
-        (ROW.format(BAD) + ROW.format(GOOD), 1),
-        (f"{BAD} | no issue\n", 4),
-        (ROW.format(BAD) * 4, 4),
+        (ROW_FORMAT.format(FAILING_TEST), 0),
+        (ROW_FORMAT.format(PASSING_TEST), 1),
+        (ROW_FORMAT.format(FAILING_TEST) + ROW_FORMAT.format(PASSING_TEST), 1),
+        (f"{FAILING_TEST} | no issue\n", 4),
+        (ROW_FORMAT.format(FAILING_TEST) * 4, 4),
     ],
 )
-def test_only_the_listed_may_fail_and_they_must(tmp_path, listed, code):
+def test_only_the_listed_may_fail_and_they_must(tmp_path, listed, exit_code):
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     (tmp_path / "tests" / "test_it.py").write_text("def test_good():\n    pass\n\n\ndef test_bad():\n    assert False\n")
@@ -32,5 +32,5 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == code, done.stdout
-    assert code == 4 or done.stdout.count("KNOWN RED: ") == listed.count("\n")
+    assert done.returncode == exit_code, done.stdout
+    assert exit_code == 4 or done.stdout.count("KNOWN RED: ") == listed.count("\n")
