--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each fault is told with its line and field, and what is good becomes what the Router is given."""
+"""Settings: each fault is reported with its line and field; valid settings become the arguments of the Router."""
 
 import pytest
 from click.testing import CliRunner
@@ -7,11 +7,12 @@
 from lapiswing.settings import SettingsError, load_boxes, load_text, router_settings
 from lapiswing.settings.load import Names
 
-GOOD = """gateway { index: 1 gateways: 3 zone: "b" }
+VALID_SETTINGS = """gateway { index: 1 gateways: 3 zone: "b" }
 group { name: "a" effect: KEYED repeat_scope: CELL }
 kind { name: "rd" role: READ memory_tokens: 9 }
 box { id: "h:1" kind: "rd" zone: "b" }
 """
+# Text in front of the valid settings, and the line and field of the fault to be found; None: any fault.
 FAULTS = [
     ("listen { port: 70000 }\n", "1 listen.port"),
     ("\n\nlisten { colour: 3 }", "3 listen.colour"),
@@ -34,37 +35,37 @@
 ]
 
 
-@pytest.mark.parametrize("more,told", FAULTS)
-def test_faults(more, told):
+@pytest.mark.parametrize("prefix,expected", FAULTS)
+def test_faults(prefix, expected):
     with pytest.raises(SettingsError) as caught:
-        load_text(more + "\n" + GOOD, "f")
-    if told:
-        assert told in [f"{f.line} {f.field}" for f in caught.value.faults], caught.value.faults
+        load_text(prefix + "\n" + VALID_SETTINGS, "f")
+    if expected:
+        assert expected in [f"{fault.line} {fault.field}" for fault in caught.value.faults], caught.value.faults
 
 
 def test_all_faults_at_once_and_the_command_s_exit_code(tmp_path):
     file = tmp_path / "s.txtpb"
-    file.write_text('log { nme: "x" }\nlisten { prt: 1 }\n' + GOOD)
+    file.write_text('log { nme: "x" }\nlisten { prt: 1 }\n' + VALID_SETTINGS)
     done = CliRunner().invoke(main, ["check", str(file)])
     assert done.exit_code == 2 and f"{file}:1: log.nme: no such field" in done.output
     assert f"{file}:2: listen.prt: no such field" in done.output
     assert CliRunner().invoke(main, ["serve", str(file)]).exit_code == 2
-    file.write_text(GOOD)
+    file.write_text(VALID_SETTINGS)
     assert CliRunner().invoke(main, ["check", str(file)]).exit_code == 0
     assert CliRunner().invoke(main, ["check", "--json", str(file)]).output.count('"ok": true') == 1
 
 
 def test_what_the_router_is_given():
-    settings = load_text(GOOD)
-    given = router_settings(settings, Names())
-    assert (given["balancers"], given["me"]) == (3, 1)
-    group = given["groups"][0]
-    assert (group.effect, group.repeat_scope, group.repeat_window_us) == ("keyed", "cell", 5_000_000)
-    assert given["family_info"]["duty_by_kind"] == ["read"]
+    settings = load_text(VALID_SETTINGS)
+    arguments = router_settings(settings, Names())
+    assert (arguments["balancers"], arguments["me"]) == (3, 1)
+    request_class = arguments["groups"][0]
+    assert (request_class.effect, request_class.repeat_scope, request_class.repeat_window_us) == ("keyed", "cell", 5_000_000)
+    assert arguments["family_info"]["duty_by_kind"] == ["read"]
 
 
 def test_boxes_files():
-    assert [b.id for b in load_boxes('box { id: "h:1" kind: "rd" }', "f", ["rd"])] == ["h:1"]
+    assert [entry.id for entry in load_boxes('box { id: "h:1" kind: "rd" }', "f", ["rd"])] == ["h:1"]
     for text in ('box { id: "h:1" kind: "no" }', 'box { id: "h:1" kind: "rd" }\nbox { id: "h:1" kind: "rd" }', "bx {}"):
         with pytest.raises(SettingsError):
             load_boxes(text, "f", ["rd"])
