--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements. Each is run by hand; docs/performance.md keeps what they showed and on what machine."""
+"""Benchmarks, run by hand. docs/performance.md records their results and the machine they ran on."""
--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet costs at the operators' size: measured slopes, hollow fleets on sockets and fleets in simulated time."""
+"""Cost of a fleet at its target size: cost by list size, hollow fleets on sockets, and fleets in simulated time."""
--- a/benchmarks/scale/charts.py
+++ b/benchmarks/scale/charts.py
@@ -1,4 +1,4 @@
-"""Cost against size, with limit and target marked: drawn from the records of `router` runs.
+"""Charts of cost by number of servers, with limit and target marked, drawn from the records of `router` runs.
 
 .venv/bin/python -m benchmarks.scale charts
 """
@@ -9,9 +9,9 @@
 from benchmarks.scale.target import MEGABYTE, TARGET
 
 RECORDS = Path(__file__).parent / "records"
-PICTURES = Path(__file__).parent.parent.parent / "docs" / "capacity"
-RUNS = {"router-all-pairs": "all pairs of servers", "router": "groups of like servers"}  # record -> how it was
-PANELS = (  # field, title, limit or None, scale of the figure
+CHART_FOLDER = Path(__file__).parent.parent.parent / "docs" / "capacity"
+RUNS = {"router-all-pairs": "all pairs of servers", "router": "groups of like servers"}  # name of the record -> legend
+PANELS = (  # field, title, limit or None, factor from the unit of the field to that of the title
     ("timers_core", "decisions and timers, % of a core", 0.6, 100),
     ("longest_timer_ms", "longest timer, ms", 10, 1),
     ("change_ms", "one server's row changes, ms", 10, 1),
@@ -19,19 +19,21 @@
 )
 
 
-def middle(values):
+def median(values):
+    """The median; of an even number of values, the upper of the two in the middle."""
     return sorted(values)[len(values) // 2]
 
 
 def draw_panel(axes, panel, records):
+    """Draws median and range of one field for each record."""
     field, title, limit, scale = panel
-    for name, of in RUNS.items():
+    for name, legend in RUNS.items():
         if name not in records:
             continue
         sizes = [costs[0]["servers"] for costs in records[name]]
         values = [[cost[field] * scale for cost in costs] for costs in records[name]]
-        axes.plot(sizes, [middle(v) for v in values], marker="o", label=of)
-        axes.fill_between(sizes, [min(v) for v in values], [max(v) for v in values], alpha=0.2)
+        axes.pyplot(sizes, [median(group) for group in values], marker="o", label=legend)
+        axes.fill_between(sizes, [min(group) for group in values], [max(group) for group in values], alpha=0.2)
     if limit:
         axes.axhline(limit, color="tab:red", linestyle="--", linewidth=1)
         axes.text(sizes[0], limit, "limit", color="tab:red", va="bottom", fontsize=8)
@@ -43,19 +45,19 @@
 
 
 def draw():
-    """-> the picture's path."""
+    """Draws all panels into one SVG file. -> its path"""
     import matplotlib
 
     matplotlib.use("Agg")
-    matplotlib.rcParams["svg.hashsalt"] = "lapiswing"  # the same picture each time
-    import matplotlib.pyplot as plot
+    matplotlib.rcParams["svg.hashsalt"] = "lapiswing"  # makes the file reproducible
+    import matplotlib.pyplot as pyplot
 
     records = {name: json.loads((RECORDS / f"{name}.json").read_text()) for name in RUNS if (RECORDS / f"{name}.json").exists()}
-    figure, axes = plot.subplots(2, 2, figsize=(10, 7), layout="constrained")
-    for one, panel in zip(axes.flat, PANELS):
-        draw_panel(one, panel, records)
-    PICTURES.mkdir(exist_ok=True)
-    path = PICTURES / "decisions.svg"
+    figure, axes = pyplot.subplots(2, 2, figsize=(10, 7), layout="constrained")
+    for panel_axes, panel in zip(axes.flat, PANELS):
+        draw_panel(panel_axes, panel, records)
+    CHART_FOLDER.mkdir(exist_ok=True)
+    path = CHART_FOLDER / "decisions.svg"
     figure.savefig(path, metadata={"Date": None})
-    plot.close(figure)
+    pyplot.close(figure)
     return path
--- a/benchmarks/scale/hollow_gateways.py
+++ b/benchmarks/scale/hollow_gateways.py
@@ -1,5 +1,5 @@
-"""Hollow gateways: the real program of the platform, many in one process on one loop, with decisions that choose nothing.
-Discovery's watch, the list, the connection pool and the listener are those that are deployed."""
+"""Hollow gateways: many real gateway nodes in one process on one event loop, with a router that routes nothing. The watch on
+discovery, the server list, the connection pool and the listener are the deployed ones."""
 
 import json
 from pathlib import Path
@@ -8,34 +8,38 @@
 
 
 class ListeningRouter:
-    """In place of the decisions: keeps when each change of the list was heard."""
+    """Replaces the Router: records when each change of the server list arrived."""
 
     def __init__(self, seed, settings, now_us):
-        self.heard, self.reqs, self.servers, self.known = [], {}, {}, set()
+        self.observed, self.reqs, self.servers, self.known = [], {}, {}, set()
 
     def round(self, now_us, events, out):
         for event in events:
             if event[0] == "servers":
-                self.hear(event[1], event[2], now_us)
+                self.record(event[1], event[2], now_us)
 
-    def hear(self, kind, rows, now_us):
-        named = {row.id for row in rows}
+    def record(self, kind, rows, now_us):
+        names = {row.id for row in rows}
         if kind == "update":
-            self.known |= named
-        elif kind != "unavailable":  # the whole list: what it no longer names is gone
-            self.heard += [(name, "gone", 0, now_us) for name in self.known - named]
-            self.known = named
-        self.heard += [(row.id, row.mode, row.kind, now_us) for row in rows if kind == "update"]
+            self.known |= names
+        elif kind != "unavailable":  # the full list: servers missing from it are gone
+            self.observed += [(name, "gone", 0, now_us) for name in self.known - names]
+            self.known = names
+        self.observed += [(row.id, row.mode, row.kind, now_us) for row in rows if kind == "update"]
 
 
 class NoLog:
+    """Discards log records."""
+
     def __getattr__(self, name):
         return lambda *args, **fields: None
 
 
 class HollowGateways:
+    """The hollow gateways of one process."""
+
     def __init__(self, loop, folder, configurations):
-        """`configurations`: as the platform would give them, one dict for each gateway."""
+        """`configurations`: one dict for each gateway, as in the platform's configuration file."""
         self.nodes = []
         for configuration in configurations:
             path = Path(folder) / f"{configuration['name']}.json"
@@ -49,7 +53,7 @@
 
     def report(self):
         return {
-            "heard": [node.core.router.heard for node in self.nodes],
+            "observed": [node.core.router.observed for node in self.nodes],
             "calls": sum(node.discovery.calls for node in self.nodes),
             "opened": sum(node.pool.opened + node.discovery_pool.opened for node in self.nodes),
         }
--- a/benchmarks/scale/link_cost.py
+++ b/benchmarks/scale/link_cost.py
@@ -1,4 +1,4 @@
-"""What a copy on the fleet link costs, idle, as copies grow: the deciding part under a simulated clock and network."""
+"""Cost of an idle member of the fleet link by number of members, under a simulated clock and network."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,15 @@
 
 
 class LinkCost(NamedTuple):
+    """Traffic and processor time of one member."""
+
     copies: int
     bytes_a_second: float
     messages_a_second: float
     core: float
-    busiest_start: int  # messages of the busiest copy in the 40 s after all start within one
+    busiest_start: int  # messages of the busiest member in the 40 s after all start within one second
 
 
 def slope(sizes):
+    """-> a LinkCost for each number of members."""
     return [LinkCost(copies, *idle(copies)) for copies in sizes]
--- a/benchmarks/scale/process_cost.py
+++ b/benchmarks/scale/process_cost.py
@@ -1,4 +1,4 @@
-"""What one real gateway process costs with nothing to do, as the list grows: memory, processor time, discovery's bytes.
+"""Cost of one idle gateway process by number of servers: memory, processor time and bytes from discovery.
 
 .venv/bin/python -m benchmarks.scale process
 """
@@ -19,22 +19,25 @@
 from lapiswing.loop import Clock, Loop, free_ports
 
 MS, S = 1000, 1_000_000
-SETTLED_US = 3 * S  # after the start
+SETTLE_US = 3 * S  # after the start, before the measurement
 MEASURED_US = 8 * S
 CHANGES = 20
 
 
 class ProcessCost(NamedTuple):
+    """Cost of one gateway process with a list of `servers` servers."""
+
     servers: int
     resident_mb: float
     idle_core: float
-    list_bytes: int  # the whole list
-    discovery_bytes_a_second: float  # with nothing new
-    change_core_ms: float  # processor time of one server's change, all that it sets off counted
+    list_bytes: int  # size of the full list
+    discovery_bytes_a_second: float  # while nothing changes
+    change_core_ms: float  # processor time of a change of one server, with everything it triggers
     change_bytes: float
 
 
 def endpoints(servers):
+    """Rows of the discovery list."""
     return [
         {
             "name": row.id,
@@ -51,6 +54,7 @@
 
 
 def measure(servers):
+    """Starts a gateway and measures it, first idle and then while servers change."""
     loop, rows = Loop(Clock()), endpoints(servers)
     discovery, port = FleetDiscovery(loop, rows), free_ports(1)[0]
     with tempfile.TemporaryDirectory() as folder:
@@ -75,18 +79,18 @@
             env={**os.environ, "RELAY_CONFIG": str(path), "OPENBLAS_NUM_THREADS": "1"},
         )
         try:
-            assert loop.run_until(lambda: discovery.counts["calls"] > 1, 20 * S), "the gateway did not come up"
-            loop.run_until(lambda: False, SETTLED_US)
-            idle_core, idle_bytes = over(loop, program, discovery, lambda: None)
-            spent, sent = over(loop, program, discovery, lambda: change(loop, discovery, rows))
+            assert loop.run_until(lambda: discovery.counts["calls"] > 1, 20 * S), "the gateway did not start within 20 s"
+            loop.run_until(lambda: False, SETTLE_US)
+            idle_core, idle_bytes = measure_during(loop, program, discovery, lambda: None)
+            busy_core, busy_bytes = measure_during(loop, program, discovery, lambda: change(loop, discovery, rows))
             return ProcessCost(
                 servers,
                 resident_mb(program.pid),
                 idle_core,
-                len(discovery.whole_list()),
+                len(discovery.full_list()),
                 idle_bytes,
-                (spent - idle_core) * MEASURED_US / MS / CHANGES,
-                (sent - idle_bytes) * MEASURED_US / S / CHANGES,
+                (busy_core - idle_core) * MEASURED_US / MS / CHANGES,
+                (busy_bytes - idle_bytes) * MEASURED_US / S / CHANGES,
             )
         finally:
             program.kill()
@@ -96,20 +100,22 @@
             loop.close()
 
 
-def over(loop, program, discovery, begin):
-    """-> share of a core and discovery's bytes a second over the time that is measured."""
-    spent, sent, began = cpu_s(program.pid), discovery.counts["bytes"], time.monotonic()
+def measure_during(loop, program, discovery, begin):
+    """Calls `begin` and measures for MEASURED_US. -> share of a core, bytes per second from discovery"""
+    cpu_before_s, bytes_before, began_s = cpu_s(program.pid), discovery.counts["bytes"], time.monotonic()
     begin()
     loop.run_until(lambda: False, MEASURED_US)
-    past = time.monotonic() - began
-    return (cpu_s(program.pid) - spent) / past, (discovery.counts["bytes"] - sent) / past
+    elapsed_s = time.monotonic() - began_s
+    return (cpu_s(program.pid) - cpu_before_s) / elapsed_s, (discovery.counts["bytes"] - bytes_before) / elapsed_s
 
 
 def change(loop, discovery, rows):
-    for i in range(CHANGES):
-        row = rows[i] | {"status": "DRAINING"}
-        loop.call_later(i * MEASURED_US // CHANGES, discovery.tell, [row])
+    """Lets servers start to drain, one after the other."""
+    for index in range(CHANGES):
+        row = rows[index] | {"status": "DRAINING"}
+        loop.call_later(index * MEASURED_US // CHANGES, discovery.publish, [row])
 
 
 def slope(sizes):
+    """-> a ProcessCost for each size."""
     return [measure(servers) for servers in sizes]
--- a/benchmarks/scale/worker.py
+++ b/benchmarks/scale/worker.py
@@ -1,5 +1,5 @@
-"""A process of the rig: hollow servers, hollow gateways or discovery. Its first line on standard input says what it is,
-further lines are commands; each answer is one line of JSON.
+"""A worker process of the rig: hollow servers, hollow gateways or discovery. The first line on standard input names its role
+and further lines are commands, each a JSON object; each answer is one line of JSON.
 
     python -m benchmarks.scale.worker
 """
@@ -19,6 +19,8 @@
 
 
 class Servers:
+    """The role that runs hollow servers."""
+
     def __init__(self, loop, rows, model, load):
         model, load = msgspec.convert(model, ServerModel), msgspec.convert(load, Load)
         self.servers = {row["name"]: HollowServer(loop, row["name"], row, model, load) for row in rows}
@@ -28,7 +30,7 @@
 
     def silent(self, names, on):
         for server in self.chosen(names):
-            server.fall_silent(on)
+            server.set_silent(on)
 
     def die(self, names):
         for server in self.chosen(names):
@@ -46,23 +48,27 @@
 
 
 class Discovery:
+    """The role that runs the discovery service."""
+
     def __init__(self, loop, rows):
         self.discovery = FleetDiscovery(loop, rows)
 
     def begin(self):
         return self.discovery.address
 
-    def tell(self, rows):
-        self.discovery.tell(rows)
+    def publish(self, rows):
+        self.discovery.publish(rows)
 
     def silent(self, on):
-        self.discovery.be_silent(on)
+        self.discovery.set_silent(on)
 
     def report(self):
         return self.discovery.report()
 
 
 class Gateways:
+    """The role that runs hollow gateways."""
+
     def __init__(self, loop, folder, configurations):
         self.gateways = HollowGateways(loop, folder, configurations)
 
@@ -80,8 +86,10 @@
 
 
 class Worker:
+    """Reads commands and calls the methods of the role."""
+
     def __init__(self):
-        self.loop, self.rest = Loop(Clock()), b""
+        self.loop, self.partial_line = Loop(Clock()), b""
         self.role = None
         os.set_blocking(sys.stdin.fileno(), False)
         self.loop.watch(sys.stdin, selectors.EVENT_READ, self.on_input)
@@ -89,21 +97,21 @@
     def on_input(self, _mask):
         data = os.read(sys.stdin.fileno(), 1 << 20)
         if not data:
-            return self.loop.stop()  # the rig has gone
-        *lines, self.rest = (self.rest + data).split(b"\n")
+            return self.loop.stop()  # the rig has exited
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             self.command(json.loads(line))
 
     def command(self, fields):
-        """`do` names a method of the role; the first command names the role itself."""
+        """`do` names a method of the role; in the first command it names the role."""
         do = fields.pop("do")
         if self.role is None:
             self.role = ROLES[do](self.loop, **fields)
-            return self.say(self.role.begin())
-        self.say(getattr(self.role, do)(**fields))
+            return self.answer(self.role.begin())
+        self.answer(getattr(self.role, do)(**fields))
 
     @staticmethod
-    def say(value):
+    def answer(value):
         sys.stdout.write(json.dumps(value) + "\n")
         sys.stdout.flush()
 
