--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -114,7 +114,7 @@
 
 def simulate_fleet(arguments):
     """Runs one simulation in a process of the pool. -> the arguments and the result."""
-    return arguments, asdict(fleet_simulation.ScaleFleet(*arguments).play().served())
+    return arguments, asdict(fleet_simulation.ScaleFleet(*arguments).run().served())
 
 
 @main.command()
--- a/benchmarks/scale/clients.py
+++ b/benchmarks/scale/clients.py
@@ -53,7 +53,9 @@
         self.clients.open -= 1
 
     def on_fail(self, stage, why):
-        self.clients.measurements.outcomes["cut" if self.started else "unreached" if stage in ("connect", "unsent") else "lost"] += 1
+        self.clients.measurements.outcomes[
+            "cut" if self.started else "unreached" if stage in ("connect", "unsent") else "lost"
+        ] += 1
         self.clients.open -= 1
 
 
--- a/benchmarks/scale/rig.py
+++ b/benchmarks/scale/rig.py
@@ -179,7 +179,10 @@
         plain = [{field: getattr(struct, field) for field in struct.__struct_fields__} for struct in (model, load)]
         self.servers = [
             self.process(
-                "servers", rows=[self.rows[name] for name in names[first : first + SERVERS_PER_PROCESS]], model=plain[0], load=plain[1]
+                "servers",
+                rows=[self.rows[name] for name in names[first : first + SERVERS_PER_PROCESS]],
+                model=plain[0],
+                load=plain[1],
             )
             for first in range(0, len(names), SERVERS_PER_PROCESS)
         ]
@@ -191,7 +194,12 @@
         """The configuration file of one gateway."""
         fleet = self.scenario.fleet
         gateway_count = fleet.told_gateways or fleet.real_gateways + fleet.hollow_gateways
-        settings = {**GATEWAY_SETTINGS, "Balancers": gateway_count, "Zones": list(ZONES[: fleet.zones]), "Az": number % fleet.zones}
+        settings = {
+            **GATEWAY_SETTINGS,
+            "Balancers": gateway_count,
+            "Zones": list(ZONES[: fleet.zones]),
+            "Az": number % fleet.zones,
+        }
         return {
             "name": f"g{number}",
             "listen": f"127.0.0.1:{port}",
@@ -432,7 +440,9 @@
             later = [
                 now_us - published_us
                 for server, mode, kind, now_us in gateway
-                if server == name and now_us >= published_us and (mode == modes[status] and (mode == "gone" or kind == kinds[role]))
+                if server == name
+                and now_us >= published_us
+                and (mode == modes[status] and (mode == "gone" or kind == kinds[role]))
             ]
             if later:
                 times.append(min(later))
--- a/benchmarks/scale/router_cost.py
+++ b/benchmarks/scale/router_cost.py
@@ -1,4 +1,4 @@
-"""What one Router costs as the list grows: processor time, allocations and state, in simulated time, with no sockets.
+"""Cost of one Router by number of servers: processor time and memory, in simulated time and without sockets.
 
 .venv/bin/python -m benchmarks.scale router [--sizes 160,320,640,1024,1280] [--seconds 20] [--plays 3]
 """
@@ -16,38 +16,38 @@
 from benchmarks.scale.target import TARGET
 from lapiswing.policy import Router
 
-READ_US, FIRST_US, STREAM_US = 80 * MS, 40 * MS, 3 * S
+PREFILL_US, FIRST_TOKEN_US, STREAM_US = 80 * MS, 40 * MS, 3 * S
 PREFIXES = 200
 
 
 class RouterCost(NamedTuple):
-    """Milliseconds and bytes of one Router at one size."""
+    """Cost of one Router with a list of `servers` servers."""
 
     servers: int
     first_list_ms: float
-    change_ms: float  # one server's row changes; the mean of ten
+    change_ms: float  # a change of one server's row; mean of ten
     longest_change_ms: float
-    timer_ms: float  # the mean
+    timer_ms: float  # mean of a timer event
     longest_timer_ms: float
-    request_ms: float  # all rounds of one request together
-    timers_core: float  # share of one core, without requests' own rounds
+    request_ms: float  # all events of one request together
+    timers_core: float  # share of one core, without the events of requests
     requests_core: float
     state_bytes: int
 
 
 class Sink:
-    """The writer that the Router is given: answers each attempt as an unloaded server would."""
+    """The Router's writer: answers each attempt as an unloaded server would."""
 
     def __init__(self, play):
-        self.play, self.attempts = play, {}
+        self.play, self.last_attempt_no = play, {}
 
     def forward(self, request, server, timeout_us, up_us=None):
-        number = self.attempts[request] = self.attempts.get(request, -1) + 1
+        attempt_no = self.last_attempt_no[request] = self.last_attempt_no.get(request, -1) + 1
         if server[0] == "r":
-            self.play.later(READ_US, ("outcome", request, number, server, "read", READ_US, False, 0, None))
+            self.play.later(PREFILL_US, ("outcome", request, attempt_no, server, "read", PREFILL_US, False, 0, None))
         else:
-            self.play.later(FIRST_US, ("first", request, server, FIRST_US, number))
-            self.play.later(STREAM_US, ("outcome", request, number, server, "done", STREAM_US, True, 0, None))
+            self.play.later(FIRST_TOKEN_US, ("first", request, server, FIRST_TOKEN_US, attempt_no))
+            self.play.later(STREAM_US, ("outcome", request, attempt_no, server, "done", STREAM_US, True, 0, None))
 
     def timer(self, after_us, token):
         self.play.later(after_us, ("timer", token))
@@ -57,13 +57,13 @@
 
 
 class Play:
-    """One Router under a gateway's part of the target's requests."""
+    """Simulation of one Router under a gateway's part of the target's requests."""
 
     def __init__(self, servers, seed, requests_a_second=TARGET.requests_a_gateway):
-        self.chance = np.random.default_rng([seed, servers])
+        self.random = np.random.default_rng([seed, servers])
         self.rate, self.now, self.events, self.order = requests_a_second, 0, [], count()
-        self.spent = {"timer": [], "request": [], "change": []}
-        self.requests, self.arrival = 0, self.between_us()
+        self.spent = {"timer": [], "request": [], "change": []}  # seconds of processing by type of event
+        self.requests, self.arrival = 0, self.interval_us()
         settings = router_settings(TARGET.gateways, TARGET.tenants, TARGET.requests)
         self.router, self.sink = Router(seed, settings, 0), Sink(self)
         self.rows = server_rows(servers, TARGET.prefill_part, TARGET.zones)
@@ -72,12 +72,14 @@
         self.first_list_s = time.perf_counter() - began
 
     def later(self, after_us, event):
+        """Delivers an event to the Router after a delay."""
         heapq.heappush(self.events, (self.now + after_us, next(self.order), event))
 
     def request(self):
+        """-> the event of a new request."""
         self.requests += 1
-        tokens = int(1000 * self.chance.lognormal(-0.32, 0.8)) + 20
-        prefix = f"p{int(self.chance.zipf(1.5)) % PREFIXES}"
+        tokens = int(1000 * self.random.lognormal(-0.32, 0.8)) + 20
+        prefix = f"p{int(self.random.zipf(1.5)) % PREFIXES}"
         return (
             "req",
             f"q{self.requests}",
@@ -89,11 +91,12 @@
             260,
             None,
             0,
-            int(self.chance.integers(TARGET.tenants)),
+            int(self.random.integers(TARGET.tenants)),
             0,
         )
 
     def run(self, seconds):
+        """Simulates `seconds` of traffic. -> itself"""
         end = self.now + int(seconds * S)
         while True:
             due = min(self.events[0][0], self.arrival) if self.events else self.arrival
@@ -105,26 +108,28 @@
                 event = heapq.heappop(self.events)[2]
             else:
                 event = self.request()
-                self.arrival = due + self.between_us()
+                self.arrival = due + self.interval_us()
             self.round("timer" if event[0] == "timer" else "request", event)
 
-    def between_us(self):
-        return int(self.chance.exponential(S / self.rate))
+    def interval_us(self):
+        """A random time between two requests."""
+        return int(self.random.exponential(S / self.rate))
 
-    def round(self, of, event):
+    def round(self, event_type, event):
+        """Gives the Router one event, and records the time it takes."""
         began = time.perf_counter()
         self.router.round(self.now, [event], self.sink)
-        self.spent[of].append(time.perf_counter() - began)
+        self.spent[event_type].append(time.perf_counter() - began)
 
     def change_one(self):
-        """One server starts to drain, and is back: two changes of one row each."""
-        row = self.rows[int(self.chance.integers(len(self.rows)))]
+        """One server starts to drain and becomes ready again: two changes of one row each."""
+        row = self.rows[int(self.random.integers(len(self.rows)))]
         for mode in ("draining", "ready"):
             self.round("change", ("servers", "update", [row._replace(mode=mode)]))
 
 
 def state_bytes(servers, seed, seconds):
-    """Memory of one Router after some traffic, by the interpreter's own count of what is allocated."""
+    """-> bytes that one Router holds after some traffic, by tracemalloc."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -132,17 +137,18 @@
     play.spent.clear()
     play.events.clear()
     gc.collect()
-    held = tracemalloc.get_traced_memory()[0] - before
+    allocated = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    del play  # it lives until it was counted
-    return held
+    del play  # kept alive until its memory was counted
+    return allocated
 
 
 def measure(servers, seed, seconds):
+    """-> a RouterCost of one run, without `state_bytes`."""
     play = Play(servers, seed)
-    play.run(2)  # what is first met is not usual
+    play.run(2)  # warm-up
     play.spent = {"timer": [], "request": [], "change": []}
-    requests, began_us = play.requests, play.now
+    requests_before, began_us = play.requests, play.now
     gc.collect()
     gc.disable()
     try:
@@ -151,8 +157,8 @@
             play.change_one()
     finally:
         gc.enable()
-    past_s, asked = (play.now - began_us) / S, play.requests - requests
-    spent = {of: np.array(times) for of, times in play.spent.items()}
+    elapsed_s, requests = (play.now - began_us) / S, play.requests - requests_before
+    spent = {event_type: np.array(times) for event_type, times in play.spent.items()}
     return RouterCost(
         servers,
         play.first_list_s * 1e3,
@@ -160,18 +166,18 @@
         spent["change"].max() * 1e3,
         spent["timer"].mean() * 1e3,
         spent["timer"].max() * 1e3,
-        spent["request"].sum() * 1e3 / asked,
-        spent["timer"].sum() / past_s,
-        spent["request"].sum() / past_s,
+        spent["request"].sum() * 1e3 / requests,
+        spent["timer"].sum() / elapsed_s,
+        spent["request"].sum() / elapsed_s,
         0,
     )
 
 
 def slope(sizes, seconds, plays):
-    """-> for each size, RouterCosts of `plays` seeds."""
+    """-> for each size, a list of RouterCosts, one for each of `plays` seeds."""
     table = []
     for servers in sizes:
         costs = [measure(servers, seed, seconds) for seed in range(1, plays + 1)]
-        held = state_bytes(servers, 1, min(seconds, 5))
-        table.append([cost._replace(state_bytes=held) for cost in costs])
+        allocated = state_bytes(servers, 1, min(seconds, 5))
+        table.append([cost._replace(state_bytes=allocated) for cost in costs])
     return table
--- a/benchmarks/scale/settings.py
+++ b/benchmarks/scale/settings.py
@@ -1,23 +1,23 @@
-"""Settings and server rows as a gateway of the target's fleet is given them."""
+"""Router settings and server rows as a gateway of the target fleet receives them."""
 
 from lapiswing.interface import RequestClass, Server
 
 MS, S = 1000, 1_000_000
-SERVERS_A_RACK = 6
-KINDS = ("read", "write")  # roles by number of kind
+SERVERS_PER_RACK = 6
+KINDS = ("read", "write")  # roles (prefill, decode) by kind of server
 PREFILL, DECODE = range(2)
 
 
 def router_settings(gateways, tenants=0, requests=0.0, cold_from=0.25):
-    """What `Router` is given. Each tenant's share is an equal one of `requests` a second."""
-    group = RequestClass("chat", "replayable", "all", 5 * S, 1200 * MS, 40 * MS, 46 * MS, 1.0, 0.3)
+    """-> the settings of a `Router`. The tenants have equal shares of `requests` per second."""
+    request_class = RequestClass("chat", "replayable", "all", 5 * S, 1200 * MS, 40 * MS, 46 * MS, 1.0, 0.3)
     return {
         "balancers": gateways,
         "az": 0,
         "me": 0,
         "resolution_us": 4 * MS,
-        "groups": [group],
-        "tenants": [{"name": f"t{i}", "quota_rps": requests / tenants} for i in range(tenants)],
+        "groups": [request_class],
+        "tenants": [{"name": f"t{number}", "quota_rps": requests / tenants} for number in range(tenants)],
         "membership_mode": "automatic",
         "penalties": {"cross_zone": 0.02},
         "kinds": list(KINDS),
@@ -33,11 +33,13 @@
 
 
 def server_rows(servers, prefill_part, zones):
-    """Racks of `SERVERS_A_RACK`, each in one zone, prefill servers spread evenly over them."""
+    """-> rows in racks of `SERVERS_PER_RACK`, each rack in one zone, with prefill servers spread evenly over the racks."""
     rows, prefill = [], 0
-    for i in range(servers):
-        is_prefill = round((i + 1) * prefill_part) > prefill
+    for number in range(servers):
+        is_prefill = round((number + 1) * prefill_part) > prefill
         prefill += is_prefill
-        rack = i // SERVERS_A_RACK
-        rows.append(Server(f"{'rw'[not is_prefill]}{i}", rack % zones, rack, PREFILL if is_prefill else DECODE, 1.0, 0, "ready"))
+        rack = number // SERVERS_PER_RACK
+        rows.append(
+            Server(f"{'rw'[not is_prefill]}{number}", rack % zones, rack, PREFILL if is_prefill else DECODE, 1.0, 0, "ready")
+        )
     return rows
