--- a/benchmarks/console.py
+++ b/benchmarks/console.py
@@ -69,7 +69,7 @@
     sock = str(folder / "gateway.sock")
     (folder / "s.txtpb").write_text(
         SETTINGS.format(
-            port=port, boxes="".join(f'box {{ id: "127.0.0.1:{p}" kind: "{k}" }}\n' for p, k in zip((a, b), ("rd", "wr")))
+            port=port, servers="".join(f'box {{ id: "127.0.0.1:{p}" kind: "{k}" }}\n' for p, k in zip((a, b), ("rd", "wr")))
         )
         + f'admin {{ path: "{sock}" }}'
     )
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
-"""Records at 2,000 boxes: python -m benchmarks.membership
+"""Server discovery by DNS records with 2,000 servers: python -m benchmarks.membership
 
-find      time until a gateway's discovery has told all boxes of a service with 2,000 instances, questions asked, CPU
-steady    CPU and questions a second to keep them known, with lifetimes of 30 s
-flood     2,000 boxes announced at once: lists handed to the decisions, the largest, and the longest round during it"""
+find      time until a gateway's discovery has reported all servers of a service with 2,000 instances; DNS queries, CPU
+steady    CPU and queries per second to keep them known, with record lifetimes of 30 s
+flood     2,000 servers announced at once: number and largest size of the lists given to the Router, longest Router round"""
 
 import os
 import random
@@ -26,73 +26,91 @@
 SERVICE = "_llm-box._tcp.bench.example."
 
 
-class Quiet:
+class NullLog:
+    """Discards log records."""
+
     def info(self, *_, **__):
         pass
 
     warning = info
 
 
-def serve(n):
+def serve(server_count):
+    """A child process: a name server with the records of the service. Prints its port."""
     loop = Loop(Clock())
     server = NameServer(loop)
-    for i in range(int(n)):
-        name = f"b{i}.{SERVICE}"
-        server.put(name, "SRV", f"0 0 9000 h{i}.bench.example.", ttl=30)
-        server.put(name, "TXT", f'"role={"read" if i % 2 else "write"}" "zone=z{i % 4}"', ttl=30)
-        server.put(f"h{i}.bench.example.", "A", f"10.1.{i // 250}.{i % 250 + 1}", ttl=30)
-    server.put(SERVICE, "PTR", *[f"b{i}.{SERVICE}" for i in range(int(n))], ttl=30)
+    for index in range(int(server_count)):
+        name = f"b{index}.{SERVICE}"
+        server.put(name, "SRV", f"0 0 9000 h{index}.bench.example.", ttl=30)
+        server.put(name, "TXT", f'"role={"read" if index % 2 else "write"}" "zone=z{index % 4}"', ttl=30)
+        server.put(f"h{index}.bench.example.", "A", f"10.1.{index // 250}.{index % 250 + 1}", ttl=30)
+    server.put(SERVICE, "PTR", *[f"b{index}.{SERVICE}" for index in range(int(server_count))], ttl=30)
     print(server.address[1], flush=True)
     loop.run()
 
 
-def cpu():
-    t = os.times()
-    return t.user + t.system
+def cpu_s():
+    """Processor time of this process."""
+    times = os.times()
+    return times.user + times.system
 
 
-def discovery(port, told):
+def start_discovery(port, list_sizes):
+    """Browses the service; appends the size of each reported list to `list_sizes`."""
     loop = Loop(Clock())
     resolver = Resolver(loop, [("127.0.0.1", port)], random.Random(1))
     browser = Browser(SERVICE, Cache())
     return (
         loop,
         resolver,
-        Discovery(loop, resolver, {"sd": browser}, lambda f: f, lambda s, rows: told.append(len(rows)), lambda: None, Quiet()),
+        Discovery(
+            loop,
+            resolver,
+            {"sd": browser},
+            lambda fields: fields,
+            lambda source, rows: list_sizes.append(len(rows)),
+            lambda: None,
+            NullLog(),
+        ),
     )
 
 
-def find_and_keep(n):
-    child = subprocess.Popen([sys.executable, "-m", "benchmarks.membership", "--role", str(n)], stdout=subprocess.PIPE)
+def find_and_keep(server_count):
+    """Prints the rows `find` and `steady`."""
+    child = subprocess.Popen([sys.executable, "-m", "benchmarks.membership", "--role", str(server_count)], stdout=subprocess.PIPE)
     try:
-        told, start, used = [], time.perf_counter(), cpu()
-        loop, resolver, found = discovery(int(child.stdout.readline()), told)
-        loop.run_until(lambda: told and told[-1] == n, 120 * S)
+        list_sizes, start_s, cpu_before_s = [], time.perf_counter(), cpu_s()
+        loop, resolver, discovery = start_discovery(int(child.stdout.readline()), list_sizes)
+        loop.run_until(lambda: list_sizes and list_sizes[-1] == server_count, 120 * S)
         click.echo(
-            f"find  {told[-1:]} boxes in {time.perf_counter() - start:.2f} s, {cpu() - used:.2f} s of CPU, "
-            f"{resolver.counts['asked']} questions, told {len(told)} times"
+            f"find  {list_sizes[-1:]} servers in {time.perf_counter() - start_s:.2f} s, {cpu_s() - cpu_before_s:.2f} s of CPU, "
+            f"{resolver.counts['asked']} queries, {len(list_sizes)} lists reported"
         )
-        asked, used, start = resolver.counts["asked"], cpu(), time.perf_counter()
+        asked_before, cpu_before_s, start_s = resolver.counts["asked"], cpu_s(), time.perf_counter()
         loop.run_until(lambda: False, 60 * S)
-        past = time.perf_counter() - start
+        elapsed_s = time.perf_counter() - start_s
         click.echo(
-            f"steady  {(resolver.counts['asked'] - asked) / past:.0f} questions a second, {(cpu() - used) / past:.3f} of a core"
+            f"steady  {(resolver.counts['asked'] - asked_before) / elapsed_s:.0f} queries a second, "
+            f"{(cpu_s() - cpu_before_s) / elapsed_s:.3f} of a core"
         )
-        found.close()
+        discovery.close()
     finally:
         child.kill()
         child.wait()
 
 
-class Sink:
+class NullWriter:
+    """A Router's writer that ignores all actions."""
+
     def __getattr__(self, _name):
         return lambda *args: None
 
 
-def flood(n):
-    members, out = Membership(), Sink()
-    members.update_list([], 0)
-    group = RequestClass("g", "replayable", "all", 0, 1_000_000, 40_000, 60_000, 1.0, 0.3)
+def flood(server_count):
+    """Prints the row `flood`."""
+    membership, writer = Membership(), NullWriter()
+    membership.update_list([], 0)
+    request_class = RequestClass("g", "replayable", "all", 0, 1_000_000, 40_000, 60_000, 1.0, 0.3)
     router = Router(
         1,
         {
@@ -100,7 +118,7 @@
             "me": 0,
             "az": 0,
             "resolution_us": 10_000,
-            "groups": [group],
+            "groups": [request_class],
             "tenants": [],
             "limits": {"max_attempts": 4, "retry_after": True, "cancel": True, "max_retry_after_us": 1_000_000},
             "rules": {"cold_from": 0.25, "ramp_time_us": 12 * S, "fall_multiple": 2.5, "overload_for_us": S},
@@ -109,20 +127,29 @@
         },
         0,
     )
-    rows = [Server(f"10.1.{i // 250}.{i % 250}:9000", i % 4, i % 16, i % 2, 1.0, 0, "ready") for i in range(n)]
-    now, lists, worst, total, most = S, 0, 0.0, 0.0, 0
-    event = members.update_records("sd", rows, now)
-    while len(members.published) < n and now < 200 * S:
+    rows = [
+        Server(f"10.1.{index // 250}.{index % 250}:9000", index % 4, index % 16, index % 2, 1.0, 0, "ready")
+        for index in range(server_count)
+    ]
+    now_us, list_count, max_round_s, total_s, max_rows = S, 0, 0.0, 0.0, 0
+    event = membership.update_records("sd", rows, now_us)
+    while len(membership.published) < server_count and now_us < 200 * S:
         if event:
-            start = time.perf_counter()
-            router.round(now, [event], out)
-            took = time.perf_counter() - start
-            lists, worst, total, most = lists + 1, max(worst, took), total + took, max(most, len(event[2]))
-        now += 200_000
-        event = members.tick(now)
+            start_s = time.perf_counter()
+            router.round(now_us, [event], writer)
+            round_s = time.perf_counter() - start_s
+            list_count, max_round_s, total_s, max_rows = (
+                list_count + 1,
+                max(max_round_s, round_s),
+                total_s + round_s,
+                max(max_rows, len(event[2])),
+            )
+        now_us += 200_000
+        event = membership.tick(now_us)
     click.echo(
-        f"flood  {len(members.published)} boxes in {now / S - 1:.0f} s of the clock, {lists} lists, the largest {most} rows; "
-        f"round {worst * 1e3:.0f} ms at most, {total / max(1, lists) * 1e3:.0f} ms on average"
+        f"flood  {len(membership.published)} servers in {now_us / S - 1:.0f} s of simulated time, {list_count} lists, "
+        f"the largest {max_rows} rows; "
+        f"round {max_round_s * 1e3:.0f} ms at most, {total_s / max(1, list_count) * 1e3:.0f} ms on average"
     )
 
 
@@ -130,7 +157,7 @@
 @click.option("--role", hidden=True)
 @click.option("--boxes", default=2000, show_default=True)
 def main(role, boxes):
-    """Records at many boxes."""
+    """Server discovery by DNS records with many servers."""
     if role:
         return serve(role)
     click.echo(f"# {os.cpu_count()} cores, Python {sys.version.split()[0]}")
--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -1,4 +1,6 @@
-"""httptools against h11 on a chat call: python -m benchmarks.parsers (needs h11, which the program does not)."""
+"""Compares the HTTP parsers httptools and h11 on a chat request: python -m benchmarks.parsers
+
+Needs h11, which lapiswing itself does not use."""
 
 import time
 
@@ -15,6 +17,8 @@
 
 
 class Sink:
+    """Ignores the parsed parts."""
+
     def on_header(self, name, value):
         pass
 
@@ -22,11 +26,11 @@
         pass
 
 
-def by_httptools():
+def parse_with_httptools():
     httptools.HttpRequestParser(Sink()).feed_data(HEAD + BODY)
 
 
-def by_h11():
+def parse_with_h11():
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(HEAD + BODY)
     while conn.next_event() not in (h11.NEED_DATA, h11.PAUSED) and conn.their_state is not h11.DONE:
@@ -34,11 +38,11 @@
 
 
 if __name__ == "__main__":
-    for name, parse in (("httptools", by_httptools), ("h11", by_h11)):
-        best = 1e9
+    for name, parse in (("httptools", parse_with_httptools), ("h11", parse_with_h11)):
+        best_s = 1e9
         for _ in range(7):
             start = time.perf_counter()
             for _ in range(2000):
                 parse()
-            best = min(best, (time.perf_counter() - start) / 2000)
-        print(f"{name}: {best * 1e6:.1f} us a call")
+            best_s = min(best_s, (time.perf_counter() - start) / 2000)
+        print(f"{name}: {best_s * 1e6:.1f} us per request")
--- a/benchmarks/ready.py
+++ b/benchmarks/ready.py
@@ -1,6 +1,6 @@
-"""How long gateways take to be ready that start all at once and share a core, by phase. Real processes on loopback.
+"""Time until gateways are ready when all start at once and share a core, and its phases. Real processes on loopback.
 
-.venv/bin/python benchmarks/ready.py [gateways on one core]
+.venv/bin/python benchmarks/ready.py [number of gateways on the core]
 """
 
 import compileall
@@ -24,23 +24,25 @@
 
 
 def endpoints(count):
+    """Rows of the discovery list."""
     return [
         {
-            "name": f"s-{i}",
-            "address": f"127.0.0.1:{2000 + i}",
-            "zone": "ab"[i % 2],
-            "type": ("read", "write")[i % 2],
-            "group": i % 8,
+            "name": f"s-{index}",
+            "address": f"127.0.0.1:{2000 + index}",
+            "zone": "ab"[index % 2],
+            "type": ("read", "write")[index % 2],
+            "group": index % 8,
             "status": "SERVING",
             "weight": 1.0,
             "since_ms": 0,
         }
-        for i in range(count)
+        for index in range(count)
     ]
 
 
 def measure(gateways, servers, known, down_s, limit_s=30):
-    """`gateways` start at once on one core; discovery says nothing for `down_s`. -> seconds until each is ready."""
+    """Starts `gateways` at once on one core; discovery does not answer for `down_s`. `known`: their configuration contains the
+    list. -> seconds until each is ready, sorted"""
     loop = Loop(Clock())
     platform, pool = Platform(loop, ()), Pool(loop)
     rows = endpoints(servers)
@@ -48,16 +50,16 @@
     platform.discovery.silent = down_s > 0
     ports, programs, ready = free_ports(gateways), [], {}
     with tempfile.TemporaryDirectory() as folder:
-        began = loop.clock.now_us()
-        for i, port in enumerate(ports):
-            path = Path(folder) / f"{i}.json"
+        began_us = loop.clock.now_us()
+        for number, port in enumerate(ports):
+            path = Path(folder) / f"{number}.json"
             path.write_text(
                 json.dumps(
                     {
-                        "name": f"n{i}",
+                        "name": f"n{number}",
                         "listen": f"127.0.0.1:{port}",
                         "discovery": platform.discovery.address,
-                        "seed": f"{i + 1:x}",
+                        "seed": f"{number + 1:x}",
                         "limits": {"cores": 1 / gateways, "memory_mb": 128, "sockets": 512},
                         "settings": SETTINGS,
                         "known": {"index": 1, "snapshot": True, "endpoints": rows} if known else None,
@@ -74,12 +76,18 @@
             )
         loop.call_later(int(down_s * S), setattr, platform.discovery, "silent", False)
         try:
-            while len(ready) < gateways and loop.clock.now_us() - began < limit_s * S:
-                asked = {i: StatusOnly() for i in range(gateways) if i not in ready}
-                for i, one in asked.items():
-                    pool.request(("127.0.0.1", ports[i]), b"GET", b"/-/ready", [], b"", one)
-                loop.run_until(lambda asked=asked: all(a.over for a in asked.values()), S // 2)
-                ready.update({i: (loop.clock.now_us() - began) / S for i, a in asked.items() if a.status == 200})
+            while len(ready) < gateways and loop.clock.now_us() - began_us < limit_s * S:
+                responses = {number: StatusOnly() for number in range(gateways) if number not in ready}
+                for number, response in responses.items():
+                    pool.request(("127.0.0.1", ports[number]), b"GET", b"/-/ready", [], b"", response)
+                loop.run_until(lambda responses=responses: all(response.over for response in responses.values()), S // 2)
+                ready.update(
+                    {
+                        number: (loop.clock.now_us() - began_us) / S
+                        for number, response in responses.items()
+                        if response.status == 200
+                    }
+                )
                 loop.run_until(lambda: False, 50 * MS)
         finally:
             for program in programs:
@@ -92,7 +100,7 @@
 
 
 def phases():
-    """Seconds of processor time: imports; configuration and first list at 100 and 1,024 servers."""
+    """-> seconds of processor time of the imports; (servers, configuration, first list) at 100 and 1,024 servers"""
     code = "import time; a = time.process_time(); import lapiswing.node.serve; print(time.process_time() - a)"
     imports = float(
         subprocess.run(
@@ -122,30 +130,31 @@
                     }
                 )
             )
-            at = [time.process_time()]
-            node = Node(str(path), type("Log", (), {"__getattr__": lambda self, name: lambda *a, **k: None})())
-            at.append(time.process_time())
+            times = [time.process_time()]
+            node = Node(str(path), type("Log", (), {"__getattr__": lambda self, name: lambda *args, **fields: None})())
+            times.append(time.process_time())
             node.load_known_list()
             node.core.turn()
-            at.append(time.process_time())
-        rows.append((servers, at[1] - at[0], at[2] - at[1]))
+            times.append(time.process_time())
+        rows.append((servers, times[1] - times[0], times[2] - times[1]))
     return imports, rows
 
 
 def main(gateways):
-    compileall.compile_dir(str(Path(__file__).parent.parent / "lapiswing"), quiet=1)  # as `build` does
+    """Prints the phases, and the times to readiness by size of the list, known list and outage of discovery."""
+    compileall.compile_dir(str(Path(__file__).parent.parent / "lapiswing"), quiet=1)  # as the build step does
     imports, rows = phases()
     print(f"imports {imports:.2f} s of a core")
-    for servers, config, first in rows:
-        print(f"{servers} servers: configuration {config:.3f} s, first list {first:.3f} s of a core")
+    for servers, configuration, first_list in rows:
+        print(f"{servers} servers: configuration {configuration:.3f} s, first list {first_list:.3f} s of a core")
     for servers in (100, 1024):
         for known in (False, True):
             for down_s in (0, 3):
                 times = measure(gateways, servers, known, down_s)
-                nine = times[gateways * 9 // 10 - 1] if len(times) >= gateways * 9 // 10 else None
+                ninth_decile = times[gateways * 9 // 10 - 1] if len(times) >= gateways * 9 // 10 else None
                 print(
                     f"{gateways} on one core, {servers} servers, known {'full' if known else 'empty'}, discovery down "
-                    f"{down_s} s: nine in ten ready after {nine and round(nine, 1)} s, last {times[-1]:.1f} s"
+                    f"{down_s} s: nine in ten ready after {ninth_decile and round(ninth_decile, 1)} s, last {times[-1]:.1f} s"
                 )
 
 
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -174,7 +174,7 @@
         wait_port(a), wait_port(b)
         file = Path(tempfile.mkdtemp(prefix="lapiswing-bench-")) / "s.txtpb"
         file.write_text(
-            SETTINGS.format(port=self.port, boxes=more + "".join(f'box {{ id: "127.0.0.1:{p}" kind: "mx" }}\n' for p in (a, b)))
+            SETTINGS.format(port=self.port, servers=more + "".join(f'box {{ id: "127.0.0.1:{p}" kind: "mx" }}\n' for p in (a, b)))
         )
         self.gateway = (
             subprocess.Popen([sys.executable, "-m", "lapiswing", "serve", str(file)]) if fair else mine("gateway", file)
