--- a/benchmarks/streams.py
+++ b/benchmarks/streams.py
@@ -4,7 +4,7 @@
 
 Each row is one path with one number of streams: requests and events per second, time to first token, CPU of the process
 in the middle per request and event, and its memory per open stream. The sources and the clients are the same programs on
-all paths, with two processes each, so that the single process in the middle is the bottleneck. `--pace` sets the ms between
+all paths, with two processes each, so that the single process in the middle is what is measured. `--pace` sets the ms between
 events of one stream; 0 is as fast as possible."""
 
 import json
