--- a/benchmarks/scale/router_cost.py
+++ b/benchmarks/scale/router_cost.py
@@ -59,9 +59,9 @@
 class Play:
     """Simulation of one Router under a gateway's part of the target's requests."""
 
-    def __init__(self, servers, seed, requests_a_second=TARGET.requests_a_gateway):
+    def __init__(self, servers, seed, requests_per_s=TARGET.requests_a_gateway):
         self.random = np.random.default_rng([seed, servers])
-        self.rate, self.now, self.events, self.order = requests_a_second, 0, [], count()
+        self.rate, self.now, self.events, self.order = requests_per_s, 0, [], count()
         self.spent = {"timer": [], "request": [], "change": []}  # seconds of processing by type of event
         self.requests, self.arrival = 0, self.interval_us()
         settings = router_settings(TARGET.gateways, TARGET.tenants, TARGET.requests)
--- a/benchmarks/scale/tenants.py
+++ b/benchmarks/scale/tenants.py
@@ -25,7 +25,7 @@
 
 def measure(gateways_used, hours=0.5):
     """Simulates one gateway of a tenant that spreads its full share evenly over `gateways_used`."""
-    play = Play(SERVERS, 1, requests_a_second=1e-9)
+    play = Play(SERVERS, 1, requests_per_s=1e-9)
     share = TARGET.requests / TARGET.tenants
     over, first, asked = 0, 0, 0
     interval_us = int(S * gateways_used / share)
