--- a/benchmarks/scale/charts.py
+++ b/benchmarks/scale/charts.py
@@ -32,7 +32,7 @@
             continue
         sizes = [costs[0]["servers"] for costs in records[name]]
         values = [[cost[field] * scale for cost in costs] for costs in records[name]]
-        axes.pyplot(sizes, [median(group) for group in values], marker="o", label=legend)
+        axes.plot(sizes, [median(group) for group in values], marker="o", label=legend)
         axes.fill_between(sizes, [min(group) for group in values], [max(group) for group in values], alpha=0.2)
     if limit:
         axes.axhline(limit, color="tab:red", linestyle="--", linewidth=1)
