--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -165,9 +165,9 @@
 @pytest.mark.parametrize(
     "fleet, field, why",
     [
-        ("", "fleet.listen", "host and port"),
+        ("", "fleet.listen", "a host and a port"),
         ('listen { host: "127.0.0.1" port: 8080 } key: "0123456789abcdef"', "fleet.listen.port", "the chat"),
-        ('listen { host: "0.0.0.0" port: 9300 } key: "0123456789abcdef"', "fleet.address", "every address"),
+        ('listen { host: "0.0.0.0" port: 9300 } key: "0123456789abcdef"', "fleet.address", "wildcard fleet.listen.host"),
         ('listen { host: "127.0.0.1" port: 9300 } key: "short"', "fleet.key[0]", "shorter than 16"),
         ('listen { host: "127.0.0.1" port: 9300 }', "fleet.key", "anybody"),
         ('listen { host: "127.0.0.1" port: 9300 } key: "0123456789abcdef" peer: "x"', "fleet.peer[0]", "host:port"),
