--- a/lapiswing/node/servers.py
+++ b/lapiswing/node/servers.py
@@ -42,7 +42,7 @@
         super().__init__(owner)
         self.servers, self.server, self.name, self.begun = servers, server, name, False
         self.status = self.timer = self.params = self.cached = self.answer = None
-        self.size, self.parts, self.rest = 0, [], b""
+        self.received_bytes, self.body_parts, self.incomplete_block = 0, [], b""
 
     def end(self):
         self.cancel_timer()
@@ -64,19 +64,19 @@
     def on_body(self, data):
         if self.over:
             return
-        self.size += len(data)
-        if self.size > MAX_BODY_BYTES:
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_BODY_BYTES:
             return self.break_off("reset")
         if self.code != "stream":
-            return self.parts.append(data)
-        if self.rest:
-            data = self.rest + data
+            return self.body_parts.append(data)
+        if self.incomplete_block:
+            data = self.incomplete_block + data
         end = data.rfind(b"\n\n") + 2
         if end < 2 or len(data) - end > MAX_EVENT_BYTES:
             if len(data) > MAX_EVENT_BYTES:
                 return self.break_off("reset")
             end = 0
-        whole, self.rest = (data[:end], data[end:]) if end else (b"", data)
+        whole, self.incomplete_block = (data[:end], data[end:]) if end else (b"", data)
         events = 0
         for block in whole.split(b"\n\n")[:-1]:
             found = self.count_events(block)
@@ -84,10 +84,10 @@
                 return self.break_off("reset")
             events += found
         if whole and not self.begun:
-            self.parts.append(whole)
+            self.body_parts.append(whole)
             if not events:
                 return
-            self.begun, whole, self.parts = True, b"".join(self.parts), []
+            self.begun, whole, self.body_parts = True, b"".join(self.body_parts), []
             self.owner.on_first(self)
             if self.over:
                 return
@@ -101,13 +101,13 @@
         if not self.over and self.exchange.in_chunk != (self.timer is not None):
             self.cancel_timer()
             if self.exchange.in_chunk:
-                self.timer = self.servers.loop.call_later(CHUNK_STALL_US, self.stalled, self.size)
+                self.timer = self.servers.loop.call_later(CHUNK_STALL_US, self.stalled, self.received_bytes)
 
-    def stalled(self, size):
+    def stalled(self, received_bytes):
         self.timer = None
         if self.over:
             return
-        if self.size == size:
+        if self.received_bytes == received_bytes:
             return self.break_off("reset")
         self.watch_chunk()
 
@@ -142,16 +142,16 @@
         if self.over:
             return
         if self.code == "stream":
-            if self.rest and self.rest[:1] == b":":
-                self.count_events(self.rest.rstrip(b"\n"))  # a final comment without a blank line after it
-                self.rest = b""
-            return self.finish("done" if self.begun and not self.rest else "reset")
+            if self.incomplete_block and self.incomplete_block[:1] == b":":
+                self.count_events(self.incomplete_block.rstrip(b"\n"))  # a final comment without a blank line after it
+                self.incomplete_block = b""
+            return self.finish("done" if self.begun and not self.incomplete_block else "reset")
         if self.code == "answered":
-            self.answer = (self.status, b"".join(self.parts))
+            self.answer = (self.status, b"".join(self.body_parts))
             return self.finish("done")
         if self.code == "read":
             try:
-                self.remark = self.cached = int(orjson.loads(b"".join(self.parts))["cached_tokens"])
+                self.remark = self.cached = int(orjson.loads(b"".join(self.body_parts))["cached_tokens"])
             except (ValueError, TypeError, KeyError):
                 return self.finish("reset")  # the prefill may have run
             self.params = True
@@ -169,7 +169,7 @@
 
     def __init__(self, servers, server, method, target, timeout_us, done):
         self.done, self.servers, self.server = done, servers, server
-        self.status, self.report, self.parts, self.size = None, None, [], 0
+        self.status, self.report, self.body_parts, self.received_bytes = None, None, [], 0
         self.timer = servers.loop.call_later(timeout_us, self.on_timeout)
         self.exchange = servers.pool.request(servers.addresses[server], method, target, [], b"", self)
 
@@ -190,9 +190,9 @@
         self.status, self.report = status, parse_load(get(fields, LOAD), self.servers.load_names)
 
     def on_body(self, data):
-        self.size += len(data)
-        if self.size <= 4096:
-            self.parts.append(data)
+        self.received_bytes += len(data)
+        if self.received_bytes <= 4096:
+            self.body_parts.append(data)
 
     def on_end(self):
         self.complete("done")
@@ -207,7 +207,7 @@
         self.timer.cancel()
         done, self.done, self.exchange = self.done, None, None
         if done:
-            done(code, self.status, self.report, b"".join(self.parts))
+            done(code, self.status, self.report, b"".join(self.body_parts))
 
 
 class Release:
