--- a/lapiswing/lab/scripts.py
+++ b/lapiswing/lab/scripts.py
@@ -183,19 +183,19 @@
     """One server is listed as draining, one reports itself that it drains, and one leaves the list while it still runs."""
     rng = Random(f"drain/{seed}")
     rows = servers()
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     return make_day(
         "drain",
         seed,
         rows=rows,
         rng=rng,
         required_cases=["told that a box drains or is gone", "fault drain", "end refused"],
-        script=[{"at_ms": 2500, "for_ms": 2000, "boxes": [wr[3]], "do": "drain"}],
+        script=[{"at_ms": 2500, "for_ms": 2000, "boxes": [writers[3]], "do": "drain"}],
         list_changes=[
-            (1200 + rng.uniform(0, 300), wr[0], "draining", None),
-            (1800, rd[0], "gone", None),
-            (4500, wr[0], "ready", None),
-            (4700, rd[0], "ready", None),
+            (1200 + rng.uniform(0, 300), writers[0], "draining", None),
+            (1800, readers[0], "gone", None),
+            (4500, writers[0], "ready", None),
+            (4700, readers[0], "ready", None),
         ],
     )
 
@@ -204,9 +204,11 @@
     """Two decode servers and a prefill server crash and return in slow start; the list announces their return."""
     rng = Random(f"cold/{seed}")
     rows = servers(4, 5)
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     away = rng.uniform(600, 1500)
-    list_changes = [(1500 + away + 20 + rng.uniform(0, 150), b, "ready", 1500 + away) for b in (wr[0], wr[1], rd[0])]
+    list_changes = [
+        (1500 + away + 20 + rng.uniform(0, 150), b, "ready", 1500 + away) for b in (writers[0], writers[1], readers[0])
+    ]
     return make_day(
         "returns-cold",
         seed,
@@ -214,8 +216,8 @@
         rng=rng,
         rate=30,
         required_cases=["fault die", "up", "cold"],
-        script=[{"at_ms": 1500, "for_ms": away, "boxes": [wr[0], wr[1], rd[0]], "do": "die"}],
-        list_changes=[(1600, b, "gone", None) for b in (wr[0], wr[1], rd[0])] + list_changes,
+        script=[{"at_ms": 1500, "for_ms": away, "boxes": [writers[0], writers[1], readers[0]], "do": "die"}],
+        list_changes=[(1600, b, "gone", None) for b in (writers[0], writers[1], readers[0])] + list_changes,
     )
 
 
@@ -224,24 +226,24 @@
     rng = Random(f"lying_list/{seed}")
     rows = servers(3, 5)
     rows[-1]["up"] = False  # listed, but never running
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     return make_day(
         "list-lies",
         seed,
         rows=rows,
         rng=rng,
         required_cases=["fault die", "told that a box drains or is gone"],
-        script=[{"at_ms": 1500, "boxes": [wr[1]], "do": "die"}],
+        script=[{"at_ms": 1500, "boxes": [writers[1]], "do": "die"}],
         list_changes=[
-            (2000, wr[0], "gone", None),
-            (2300, wr[2], "draining", None),
-            (2300, rd[1], "gone", None),
-            (2600, wr[2], "ready", None),
-            (2900, wr[2], "draining", None),
-            (3300, wr[2], "ready", None),
-            (4300, wr[0], "ready", None),
-            (4300, rd[1], "ready", None),
-            (5500, wr[1], "gone", None),
+            (2000, writers[0], "gone", None),
+            (2300, writers[2], "draining", None),
+            (2300, readers[1], "gone", None),
+            (2600, writers[2], "ready", None),
+            (2900, writers[2], "draining", None),
+            (3300, writers[2], "ready", None),
+            (4300, writers[0], "ready", None),
+            (4300, readers[1], "ready", None),
+            (5500, writers[1], "gone", None),
         ],
     )
 
@@ -285,7 +287,7 @@
     gateway is killed."""
     rng = Random(f"several/{seed}")
     rows = servers(4, 5, 1)
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     plans = calls(rng, 28)
     for plan in plans:
         if rng.random() < 0.1:
@@ -298,17 +300,17 @@
         plans=plans,
         required_cases=["fault hang", "fault lost", "tries at a killed gateway", "end lost"],
         script=[
-            {"at_ms": 1500, "for_ms": 2000, "boxes": [wr[0]], "do": "hang"},
-            {"at_ms": 2000, "for_ms": 2500, "boxes": [*rd, *wr[2:]], "do": "lost", "size": 0.25},
-            {"at_ms": 2500, "for_ms": 1000, "boxes": [wr[1], rd[0]], "do": "die"},
-            {"at_ms": 3000, "for_ms": 1500, "boxes": [wr[3]], "do": "slow", "size": 6},
-            {"at_ms": 4800, "for_ms": 1200, "boxes": [rng.choice(rd)], "do": "garbage", "size": "bytes"},
+            {"at_ms": 1500, "for_ms": 2000, "boxes": [writers[0]], "do": "hang"},
+            {"at_ms": 2000, "for_ms": 2500, "boxes": [*readers, *writers[2:]], "do": "lost", "size": 0.25},
+            {"at_ms": 2500, "for_ms": 1000, "boxes": [writers[1], readers[0]], "do": "die"},
+            {"at_ms": 3000, "for_ms": 1500, "boxes": [writers[3]], "do": "slow", "size": 6},
+            {"at_ms": 4800, "for_ms": 1200, "boxes": [rng.choice(readers)], "do": "garbage", "size": "bytes"},
         ],
         list_changes=[
-            (2700, wr[1], "gone", None),
-            (2700, rd[0], "gone", None),
-            (3600, wr[1], "ready", 3500),
-            (3600, rd[0], "ready", 3500),
+            (2700, writers[1], "gone", None),
+            (2700, readers[0], "gone", None),
+            (3600, writers[1], "ready", 3500),
+            (3600, readers[0], "ready", 3500),
         ],
         gateway_events=[(2600, 1, "kill"), (3300, 1, "start")],
     )
@@ -318,7 +320,7 @@
     """Servers send invalid answers: random bytes, endless heads, endless lines, broken JSON."""
     rng = Random(f"garbage/{seed}")
     rows = servers(3, 5)
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     return make_day(
         "garbage",
         seed,
@@ -329,7 +331,7 @@
         script=[
             {"at_ms": 1000 + 1000 * i, "for_ms": 900, "boxes": [box], "do": "garbage", "size": kind}
             for i, (box, kind) in enumerate(
-                [(wr[0], "bytes"), (rd[0], "head"), (wr[1], "line"), (rd[1], "json"), (wr[2], "json")]
+                [(writers[0], "bytes"), (readers[0], "head"), (writers[1], "line"), (readers[1], "json"), (writers[2], "json")]
             )
         ],
     )
@@ -357,7 +359,7 @@
     """Session connections break while servers crash and hang, one gateway is killed and the other drains."""
     rng = Random(f"sessions_in_trouble/{seed}")
     rows = servers(4, 5)
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     plans = calls(rng, 25)
     for plan in plans:
         if rng.random() < 0.6:
@@ -374,9 +376,9 @@
         session_drops=sorted(session_drops),
         required_cases=["tries over sessions", "sessions cut", "tries at a killed gateway", "fault hang"],
         script=[
-            {"at_ms": 1500, "boxes": [wr[0]], "do": "die"},
-            {"at_ms": 2500, "for_ms": 1500, "boxes": [wr[1]], "do": "hang"},
-            {"at_ms": 3500, "for_ms": 2000, "boxes": [rd[0], wr[2]], "do": "lost", "size": 0.3},
+            {"at_ms": 1500, "boxes": [writers[0]], "do": "die"},
+            {"at_ms": 2500, "for_ms": 1500, "boxes": [writers[1]], "do": "hang"},
+            {"at_ms": 3500, "for_ms": 2000, "boxes": [readers[0], writers[2]], "do": "lost", "size": 0.3},
         ],
         gateway_events=[(2200, 1, "kill"), (2900, 1, "start"), (4500, 0, "term"), (6200, 0, "start")],
     )
@@ -387,7 +389,7 @@
     sessions."""
     rng = Random(f"moves/{seed}")
     rows = servers(4, 5, state_bytes=1024, plain_moves=plain)
-    rd = of_role(rows, "read")
+    readers = of_role(rows, "read")
     plans = calls(rng, 25)
     for plan in plans:
         if rng.random() < 0.3:
@@ -401,12 +403,12 @@
         session_drops=[(rng.uniform(1000, 6000), s, 50) for s in range(6)],
         required_cases=["moved", "fault path_flip", "fault path_cut", "fault path_hold", "fault path_slow"],
         script=[
-            {"at_ms": 800, "for_ms": 1800, "boxes": [rd[0], rd[1]], "do": "path_flip", "size": 0.15},
-            {"at_ms": 2200, "for_ms": 1800, "boxes": [rd[1], rd[2]], "do": "path_cut", "size": 60},
-            {"at_ms": 2200, "for_ms": 1800, "boxes": [rd[1], rd[2]], "do": "path_slow", "size": 6_000_000},
-            {"at_ms": 4200, "for_ms": 700, "boxes": [rd[0]], "do": "path_hold"},
-            {"at_ms": 5000, "for_ms": 900, "boxes": [rd[3]], "do": "die"},
-            {"at_ms": 5200, "for_ms": 1000, "boxes": [rd[2]], "do": "path_slow", "size": 1_500_000},
+            {"at_ms": 800, "for_ms": 1800, "boxes": [readers[0], readers[1]], "do": "path_flip", "size": 0.15},
+            {"at_ms": 2200, "for_ms": 1800, "boxes": [readers[1], readers[2]], "do": "path_cut", "size": 60},
+            {"at_ms": 2200, "for_ms": 1800, "boxes": [readers[1], readers[2]], "do": "path_slow", "size": 6_000_000},
+            {"at_ms": 4200, "for_ms": 700, "boxes": [readers[0]], "do": "path_hold"},
+            {"at_ms": 5000, "for_ms": 900, "boxes": [readers[3]], "do": "die"},
+            {"at_ms": 5200, "for_ms": 1000, "boxes": [readers[2]], "do": "path_slow", "size": 1_500_000},
         ],
     )
 
@@ -421,7 +423,7 @@
     garbage, while one decode server crashes and returns in slow start and another is marked as draining."""
     rng = Random(f"lying_records/{seed}")
     rows = servers(4, 5)
-    rd, wr = of_role(rows, "read"), of_role(rows, "write")
+    readers, writers = of_role(rows, "read"), of_role(rows, "write")
     at_ms = rng.uniform(1200, 1600)
     return make_day(
         "believing-records" if believing else "lying-records",
@@ -431,7 +433,7 @@
         doubt_ms=1 if believing else 3000,
         required_cases=["told that a box drains or is gone", "fault die"],
         dns_steps=[
-            (at_ms, "withdraw", [*rd[:3], *wr[1:4]]),
+            (at_ms, "withdraw", [*readers[:3], *writers[1:4]]),
             (at_ms + 2200, "withdraw", []),
             (4600, "silent", True),
             (5600, "silent", False),
@@ -439,11 +441,11 @@
             (6400, "garbage", ""),
         ],
         script=[
-            {"at_ms": 2000, "for_ms": 1500, "boxes": [wr[4]], "do": "die"},
-            {"at_ms": 5000, "for_ms": 1000, "boxes": [rd[3]], "do": "hang"},
+            {"at_ms": 2000, "for_ms": 1500, "boxes": [writers[4]], "do": "die"},
+            {"at_ms": 5000, "for_ms": 1000, "boxes": [readers[3]], "do": "hang"},
         ],
-        list_changes=[(2100, wr[4], "gone", None), (3550, wr[4], "ready", 3500), (2700, wr[0], "draining", None)],
-    )  # wr[0] is marked as draining while the records are not trusted, and read before the name server stops answering
+        list_changes=[(2100, writers[4], "gone", None), (3550, writers[4], "ready", 3500), (2700, writers[0], "draining", None)],
+    )  # writers[0] is marked as draining while the records are not trusted, and read before the name server stops answering
 
 
 def believing_records(seed):
