--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make run` and `make test` do all set-up on a fresh machine with python3 (3.11 or newer).
+# `make run` and `make test` also install the dependencies; a fresh machine needs only python3 (3.11 or newer).
 PY = .venv/bin/python
 STAMP = .venv/.set-up
 
@@ -17,19 +17,20 @@
 test: setup lint
 	$(PY) -m pytest -q
 
-# The linter takes the modules that pyproject.toml lists for it, the formatter the whole tree.
+# The linter checks the modules listed in pyproject.toml, the formatter the whole tree.
 lint: setup
 	$(PY) -m ruff check -q
 	$(PY) -m ruff format -q --check --config 'include=["**/*.py"]'
 
-# Randomized faults around real gateways (docs/incidents/hunt.md); not part of the tests.
+# Randomized fault injection around real gateways (docs/incidents/hunt.md); not part of the tests.
 soak: setup
 	$(PY) -m lapiswing.lab.soak --seeds 1-20 --jobs 2
 
 badday: setup
 	$(PY) -m lapiswing badday --script all
 
-# What the fleet costs at the operators' size (docs/CAPACITY.md): within 15 minutes, and a look within 60 s.
+# Benchmarks of the fleet's cost at its target size (docs/CAPACITY.md), within 15 minutes; `scale-small` is a short check
+# within 60 s.
 SCALE = OPENBLAS_NUM_THREADS=1 $(PY) -m benchmarks.scale
 RECORDS = benchmarks/scale/records
 scale: setup
