--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -70,7 +70,9 @@
     names = {kind.__name__ for kind in all_error_types()}
     assert not names & {
         "Bad",
+        "ProtocolError",
         "Wrong",
+        "RequestError",
         "InvalidCall",
         "Unknown",
         "UnknownApiKey",
@@ -81,6 +83,7 @@
         "TooLong",
         "EventTooLong",
         "Impossible",
+        "ActionRefused",
     }
 
 
